--- a/bench/reducer.py
+++ b/bench/reducer.py
@@ -70,14 +70,14 @@
             for effect in do(queue.pop(0)):
                 if isinstance(effect, s.Write):
                     written.extend((effect.stream, m) for m in effect.messages)
-                    queue.append(s.Wrote(effect.stream))
+                    queue.append(s.WriteCompleted(effect.stream))
                 elif isinstance(effect, s.Connect):
                     links.append(effect.stream)
                     queue.append(s.Connected(effect.stream))
-                    queue.append(s.Heard(effect.stream, p.GroupState(0, {"spare": 40, "total": 40})))
+                    queue.append(s.MessageReceived(effect.stream, p.GroupState(0, {"spare": 40, "total": 40})))
 
     listed = tuple(p.Listed(i.ListEntry(100 + k, k, i.ListState.READY, 0), ("127.0.0.1", 5000 + k)) for k in range(7))
-    feed(s.Started((p.ListUpdate(1, i.ListKind.FULL, listed),), 1, ("127.0.0.1", 9)), s.Listening())
+    feed(s.Started((p.ListUpdate(1, i.ListKind.FULL, listed),), 1, ("127.0.0.1", 9)), s.ListenerReady())
     feed(*(s.Accepted(k) for k in range(1, 9)))
     for call in range(1, CALLS + 1):
         now += draw.randrange(4_000, 12_000)
@@ -85,13 +85,13 @@
         if due is not None and due <= now:
             feed(s.Tick())
         if call % 10 == 0:
-            feed(*(s.Heard(k, p.GroupState(0, {"spare": 30 + call % 7, "total": 40})) for k in links))
+            feed(*(s.MessageReceived(k, p.GroupState(0, {"spare": 30 + call % 7, "total": 40})) for k in links))
             feed(s.ChannelLost("made up"))
         written.clear()
         figures = {"dest": draw.randrange(1, 7), "width": 1, "via": -1}
         word = "premium-quote"
         caller = draw.randrange(1, 9)
-        feed(s.Heard(caller, p.SetUp(call, word, 3000, f"{call:016x}", b"v=0", figures)))
+        feed(s.MessageReceived(caller, p.SetUp(call, word, 3000, f"{call:016x}", b"v=0", figures)))
         for _ in range(4):
             out = [(k, m) for k, m in written if k < 0 and isinstance(m, p.SetUp)]
             written.clear()
@@ -99,11 +99,11 @@
                 break
             link, message = out[-1]
             if draw.random() < 0.8:
-                feed(s.Heard(link, p.Answer(message.call, b"yes")))
-                feed(s.Heard(link, p.Release(message.call, p.ReleaseCause.NORMAL)))
-                feed(s.Heard(caller, p.ReleaseHeard(message.call)))
+                feed(s.MessageReceived(link, p.Answer(message.call, b"yes")))
+                feed(s.MessageReceived(link, p.Release(message.call, p.ReleaseCause.NORMAL)))
+                feed(s.MessageReceived(caller, p.ReleaseHeard(message.call)))
             else:
-                feed(s.Heard(link, p.Release(message.call, p.ReleaseCause.NO_CIRCUIT, "turned_back")))
+                feed(s.MessageReceived(link, p.Release(message.call, p.ReleaseCause.NO_CIRCUIT, "turned_back")))
     assert core.counters["attempts_answered"] > CALLS // 2, core.counters
     assert not core.counters["errors"]
     return spent
--- a/latchturn/admin.py
+++ b/latchturn/admin.py
@@ -44,7 +44,7 @@
         try:
             with sock, connection.scope, trio.move_on_after(PATIENCE_S), contextlib.suppress(OSError):
                 line = await self._read_line(sock)
-                self._tell(session.Operation(ident, operations.parse(line)))
+                self._tell(session.AdminRequest(ident, operations.parse(line)))
                 while connection.reply:
                     connection.reply = connection.reply[await sock.send(connection.reply) :]
                 sock.shutdown(trio.socket.SHUT_WR)
--- a/latchturn/checking/ledger.py
+++ b/latchturn/checking/ledger.py
@@ -148,12 +148,12 @@
     def heard(self, happened: s.Input) -> None:
         """An input is about to be taken in."""
         match happened:
-            case s.Heard(stream, message):
+            case s.MessageReceived(stream, message):
                 if stream in self.links:
                     self._from_exchange(stream, message)
                 elif stream in self.callers:
                     self._from_caller(stream, message)
-            case s.Wrote(stream):
+            case s.WriteCompleted(stream):
                 self.arrived(stream)
                 self.writing.pop(stream, None)
             case s.Accepted(stream):
@@ -161,12 +161,12 @@
                 self.callers.add(stream)
             case s.Connected(stream):
                 self.up.add(stream)
-            case s.Closed(stream) | s.ConnectFailed(stream):
+            case s.ConnectionClosed(stream) | s.ConnectFailed(stream):
                 self._lost(stream)
-            case s.Ended(stream) | s.Garbled(stream):
+            case s.EndOfInput(stream) | s.MalformedInput(stream):
                 if stream in self.links:
                     self._lost(stream)
-                elif isinstance(happened, s.Garbled):
+                elif isinstance(happened, s.MalformedInput):
                     self.shut.add(stream)
             case s.Started(known, cursor):
                 for update in known:
@@ -176,19 +176,19 @@
                 for update in known:
                     self._list(update)
                 self.release_us, self.grace_us = settings.release_us, settings.drain_grace_us
-            case s.ListTold(update):
+            case s.ListUpdateReceived(update):
                 self._list(update)
-            case s.Bequeathed(call, exchange):
+            case s.CallInherited(call, exchange):
                 if exchange in self.exchanges and not self.exchanges[exchange].gone and call not in self.calls:
                     told = ObservedCall(p.SetUp(call, "", 0, "", b""), 0, self.now, self.now, 0, answers=1, stood=True)
                     told.stands_at = exchange
                     self.calls[call] = told
-            case s.PassedOn(call):
+            case s.ReleaseForwarded(call):
                 if call in self.calls and not self.calls[call].over:
                     self.calls[call].ended_by_caller_us = self.now
             case s.Terminate():
                 self.term_us = self.term_us or self.now
-            case s.Succeeded(serves):
+            case s.SuccessorChanged(serves):
                 self.succeeded = serves or (self.succeeded and bool(self.term_us))
             case _:
                 pass
@@ -318,7 +318,7 @@
             case s.Log(text):
                 if text.startswith("fault"):
                     self.tell(Event(Fact.FAULT, message=text))
-            case s.Bequeath(calls):
+            case s.HandOverCalls(calls):
                 self.bequeathed = tuple(call for call, _ in calls)
             case s.Exit():
                 self.exited = True
--- a/latchturn/checking/plants.py
+++ b/latchturn/checking/plants.py
@@ -14,8 +14,8 @@
 from .. import protocol as p
 from ..brain import Controller
 from ..session import attempts, callers, calls, end_notices, exchanges, links, module, phases, reducer, timers, writing
+from ..session.inputs_and_effects import Close
 from ..session.timers import TimerKind
-from ..session.words import Close
 
 
 @dataclass(frozen=True)
@@ -342,7 +342,7 @@
     def make(old: Body) -> Body:
         def go_on(self: Any) -> Any:
             old(self)
-            self.core.effects[:] = [e for e in self.core.effects if type(e).__name__ != "Bequeath"]
+            self.core.effects[:] = [e for e in self.core.effects if type(e).__name__ != "HandOverCalls"]
 
         return go_on
 
--- a/latchturn/checking/traces.py
+++ b/latchturn/checking/traces.py
@@ -111,21 +111,23 @@
         return [("clock", "goes on")]
     if isinstance(what, s.Write):
         return [("controller", f"to {_stream(world, what.stream)}: {_message(m)}") for m in what.messages]
-    if isinstance(what, s.Heard):
+    if isinstance(what, s.MessageReceived):
         return [(_stream(world, what.stream), _message(what.message))]
-    if isinstance(what, s.Wrote | s.Tick | s.Log):
+    if isinstance(what, s.WriteCompleted | s.Tick | s.Log):
         return [("controller", what.text)] if isinstance(what, s.Log) else []
     if isinstance(what, s.Connect | s.Close | s.CloseIdle):
         verb = {s.Connect: "opens", s.Close: "closes", s.CloseIdle: "closes, if idle,"}[type(what)]
         return [("controller", f"{verb} {_stream(world, what.stream)}")]
-    if isinstance(what, s.Closed | s.Connected | s.ConnectFailed | s.Ended | s.Accepted):
+    if isinstance(what, s.ConnectionClosed | s.Connected | s.ConnectFailed | s.EndOfInput | s.Accepted):
         return [(_stream(world, what.stream), type(what).__name__.lower())]
-    if isinstance(what, s.ListTold):
+    if isinstance(what, s.ListUpdateReceived):
         told = ", ".join(f"{k.entry.exchange} {k.entry.state.name.lower()}" for k in what.update.listed)
         return [("list", told)]
     if isinstance(what, s.Terminate):
         return [("operators", "SIGTERM")]
-    inward = isinstance(what, s.Operation | s.Succeeded | s.Reconfigured | s.Bequeathed | s.PassedOn)
+    inward = isinstance(
+        what, s.AdminRequest | s.SuccessorChanged | s.Reconfigured | s.CallInherited | s.ReleaseForwarded
+    )
     return [("operators" if inward else "controller", str(what)[:90])]
 
 
--- a/latchturn/checking/world.py
+++ b/latchturn/checking/world.py
@@ -141,7 +141,7 @@
         own = p.Listed(i.ListEntry(100, 0, i.ListState.READY, 0), ("127.0.0.1", 5000))
         known = p.ListUpdate(1, i.ListKind.FULL, (own, *listed))
         self._feed(s.Started((known,), 1, CHANNEL, scope.replaces))
-        self._feed(s.Listening())
+        self._feed(s.ListenerReady())
         while self.connecting:
             self._accept(min(self.connecting))
         for _ in range(scope.callers if not scope.replaces else 0):
@@ -198,7 +198,7 @@
                     peer.held, peer.seen = messages, False
                 else:
                     self._reach(stream, peer, messages)
-                    queue.append(s.Wrote(stream))
+                    queue.append(s.WriteCompleted(stream))
             case s.Connect(stream, address, timeout_us):
                 at = [f.ident for f in self.fars.values() if f.port == address[1]]
                 self.connecting[stream] = (at[-1] if at else 0, self.now + timeout_us)
@@ -206,12 +206,12 @@
                 if self.connecting.pop(stream, None) is not None:
                     queue.append(s.ConnectFailed(stream, False))
                 elif self.peers.pop(stream, None) is not None:
-                    queue.append(s.Closed(stream))
+                    queue.append(s.ConnectionClosed(stream))
             case s.CloseIdle(stream):
                 if (peer := self.peers.get(stream)) is not None and not peer.half:
                     del self.peers[stream]
-                    queue.append(s.Closed(stream))
-            case s.TakeCallers(on):
+                    queue.append(s.ConnectionClosed(stream))
+            case s.AcceptCallers(on):
                 if on and not self.taking and self.scope.replaces:
                     for _ in range(self.scope.callers):
                         self.next_caller += 1
@@ -450,42 +450,42 @@
     def _do_set_up(self, stream: int) -> None:
         call, self.next_call = self.next_call, self.next_call + 1
         self.calls_made += 1
-        self._feed(s.Heard(stream, self._set_up(call, call)))
+        self._feed(s.MessageReceived(stream, self._set_up(call, call)))
 
     def _do_redial(self, ident: int, stream: int) -> None:
         call, self.next_call = self.next_call, self.next_call + 1
-        self._feed(s.Heard(stream, self._set_up(call, int(self.ledger.calls[ident].set_up.called, 16))))
+        self._feed(s.MessageReceived(stream, self._set_up(call, int(self.ledger.calls[ident].set_up.called, 16))))
 
     def _do_give_up(self, ident: int) -> None:
-        self._feed(s.Heard(self.ledger.calls[ident].stream, p.Release(ident, p.ReleaseCause.NORMAL)))
+        self._feed(s.MessageReceived(self.ledger.calls[ident].stream, p.Release(ident, p.ReleaseCause.NORMAL)))
 
     def _do_release(self, ident: int, stream: int) -> None:
-        self._feed(s.Heard(stream, p.Release(ident, p.ReleaseCause.NORMAL)))
+        self._feed(s.MessageReceived(stream, p.Release(ident, p.ReleaseCause.NORMAL)))
 
     def _do_same_id(self, ident: int, stream: int) -> None:
-        self._feed(s.Heard(stream, self.ledger.calls[ident].set_up))
+        self._feed(s.MessageReceived(stream, self.ledger.calls[ident].set_up))
 
     _do_other_id = _do_same_id
 
     def _do_hang_up(self, stream: int) -> None:
         del self.peers[stream]
-        self._feed(s.Closed(stream))
+        self._feed(s.ConnectionClosed(stream))
 
     def _do_half(self, stream: int) -> None:
         self.peers[stream].half = True
-        self._feed(s.HalfRead(stream, True))
+        self._feed(s.PartialMessage(stream, True))
 
     def _do_whole(self, stream: int) -> None:
         self.peers[stream].half = False
-        self._feed(s.HalfRead(stream, False))
+        self._feed(s.PartialMessage(stream, False))
 
     def _do_garble(self, stream: int) -> None:
         self.peers[stream].half_closed = True
-        self._feed(s.Garbled(stream, "no message"))
+        self._feed(s.MalformedInput(stream, "no message"))
 
     def _do_half_close(self, stream: int) -> None:
         self.peers[stream].half_closed = True
-        self._feed(s.Ended(stream))
+        self._feed(s.EndOfInput(stream))
 
     # --- exchanges ---
 
@@ -503,7 +503,7 @@
         self.standing[ident] = self.peers[link].far
         if "twice" in self.left:
             self.peers[link].asked[ident] = asked
-        self._feed(s.Heard(link, self._answer(link, ident)))
+        self._feed(s.MessageReceived(link, self._answer(link, ident)))
 
     def _do_refuse(self, link: int, ident: int, word: str) -> None:
         asked = self.peers[link].asked.pop(ident)
@@ -511,40 +511,40 @@
         if "twice" in self.left:
             self.peers[link].asked[ident] = asked
         cause, note = REFUSALS[word]
-        self._feed(s.Heard(link, p.Release(ident, cause, note)))
+        self._feed(s.MessageReceived(link, p.Release(ident, cause, note)))
 
     def _do_late(self, link: int, ident: int, word: str) -> None:
         """A word that crosses the give-up. An answer that crosses it ends again as the give-up comes."""
         del self.peers[link].asked[ident]
         if word == "answer":
-            self._feed(s.Heard(link, self._answer(link, ident)))
+            self._feed(s.MessageReceived(link, self._answer(link, ident)))
         else:
-            self._feed(s.Heard(link, p.Release(ident, p.ReleaseCause.TEMPORARY_FAILURE)))
+            self._feed(s.MessageReceived(link, p.Release(ident, p.ReleaseCause.TEMPORARY_FAILURE)))
 
     def _do_twice(self, link: int, ident: int) -> None:
         asked = self.peers[link].asked.pop(ident)
         if asked.said == "answer":
-            self._feed(s.Heard(link, self._answer(link, ident)))
+            self._feed(s.MessageReceived(link, self._answer(link, ident)))
         else:
             cause, note = REFUSALS[asked.said]
-            self._feed(s.Heard(link, p.Release(ident, cause, note)))
+            self._feed(s.MessageReceived(link, p.Release(ident, cause, note)))
 
     def _do_astray(self, link: int, ident: int, right: int) -> None:
         """An answer on a link that did not carry the set-up: no exchange does that, and it must count for
         nothing."""
-        self._feed(s.Heard(link, self._answer(right, ident)))
+        self._feed(s.MessageReceived(link, self._answer(right, ident)))
 
     def _do_end(self, call: int, cause: p.ReleaseCause = p.ReleaseCause.NORMAL) -> None:
         far = self.standing.pop(call)
         link = next(k for k, peer in self.peers.items() if peer.far == far)
-        self._feed(s.Heard(link, p.Release(call, cause)))
+        self._feed(s.MessageReceived(link, p.Release(call, cause)))
 
     def _do_cut(self, call: int) -> None:
         self._do_end(call, p.ReleaseCause.TEMPORARY_FAILURE)
 
     def _do_reset(self, link: int) -> None:
         del self.peers[link]
-        self._feed(s.Closed(link))
+        self._feed(s.ConnectionClosed(link))
 
     def _do_die(self, ident: int) -> None:
         self.fars[ident].alive = False
@@ -559,7 +559,7 @@
         self.anew[ident] = self.now
 
     def _do_group(self, link: int, free: int) -> None:
-        self._feed(s.Heard(link, p.GroupState(0, {"spare": free, "total": 40, "allowed": 100.0})))
+        self._feed(s.MessageReceived(link, p.GroupState(0, {"spare": free, "total": 40, "allowed": 100.0})))
 
     # --- links ---
 
@@ -605,14 +605,14 @@
         if held is not None:
             if not peer.seen:
                 self._reach(stream, peer, held)
-            self._feed(s.Wrote(stream))
+            self._feed(s.WriteCompleted(stream))
 
     # --- the list ---
 
     def _tell(self, *listed: p.Listed) -> None:
         self.events += 1
         self.last = p.ListUpdate(self.events, i.ListKind.CHANGES, listed)
-        self._feed(s.ListTold(self.last))
+        self._feed(s.ListUpdateReceived(self.last))
 
     def _do_drain(self, ident: int) -> None:
         self.drained.add(ident)
@@ -642,7 +642,7 @@
 
     def _do_list_twice(self) -> None:
         assert self.last is not None
-        self._feed(s.ListTold(self.last))
+        self._feed(s.ListUpdateReceived(self.last))
 
     def _do_channel_lost(self) -> None:
         self._feed(s.ChannelLost("reset"))
@@ -651,11 +651,11 @@
 
     def _do_lameduck(self) -> None:
         self.ledger.draining = True
-        self._feed(s.Operation(1, o.Command.LAMEDUCK))
+        self._feed(s.AdminRequest(1, o.Command.LAMEDUCK))
 
     def _do_rejoin(self) -> None:
         self.ledger.draining = False
-        self._feed(s.Operation(1, o.Command.REJOIN))
+        self._feed(s.AdminRequest(1, o.Command.REJOIN))
 
     def _do_sighup(self, name: str) -> None:
         channel = ("127.0.0.1", 10) if name == "moved" else CHANNEL
@@ -665,19 +665,19 @@
         self._feed(s.Terminate())
 
     def _do_succeed(self) -> None:
-        self._feed(s.Succeeded(True))
+        self._feed(s.SuccessorChanged(True))
 
     def _do_unsucceed(self) -> None:
-        self._feed(s.Succeeded(False))
+        self._feed(s.SuccessorChanged(False))
 
     def _do_inherit(self, exchange: int) -> None:
         call, self.next_call = self.next_call, self.next_call + 1
         self.inherited[call] = self.standing[call] = exchange
-        self._feed(s.Bequeathed(call, exchange))
+        self._feed(s.CallInherited(call, exchange))
 
     def _do_passed_on(self, call: int) -> None:
         del self.inherited[call]
-        self._feed(s.PassedOn(call, int(p.ReleaseCause.NORMAL)))
+        self._feed(s.ReleaseForwarded(call, int(p.ReleaseCause.NORMAL)))
 
     # --- the end of a path ---
 
--- a/latchturn/net.py
+++ b/latchturn/net.py
@@ -150,7 +150,7 @@
                     self._nursery.start_soon(self._guard, self._talk, self._predecessor)
                 known = config.known
                 self.tell(session.Started(known, config.cursor, config.channel, inherited is not None))
-                self.tell(session.Listening())
+                self.tell(session.ListenerReady())
                 self._nursery.start_soon(self._service, self._keep_time)
 
     @staticmethod
@@ -217,21 +217,21 @@
                 outlet_ = self._outlets.get(stream)
                 if outlet_ is not None and outlet_.sock is not None and not unread(outlet_.sock):
                     outlet_.scope.cancel()
-            case session.Follow():
+            case session.ConnectChannel():
                 self._channel.cancel()
                 self._channel = trio.CancelScope()
                 self._nursery.start_soon(self._guard, self._run_channel, effect, self._channel)
-            case session.TakeCallers(on):
+            case session.AcceptCallers(on):
                 self._front.cancel()
                 if on:
                     if self._predecessor is not None:
                         handover.say(self._predecessor, handover.SERVING)
                     self._front = trio.CancelScope()
                     self._nursery.start_soon(self._guard, self._run_front, self._front)
-            case session.Bequeath(calls):
+            case session.HandOverCalls(calls):
                 for other in self._others:
                     handover.say_all(other, handover.STANDS, calls)
-            case session.PassOn(ident, cause):
+            case session.ForwardRelease(ident, cause):
                 for other in self._others:
                     handover.say(other, handover.OVER, ident, cause)
             case session.Reply(connection, data):
@@ -280,19 +280,19 @@
                 async for words in handover.hear(sock):
                     match words:
                         case handover.HELD, [held, calls]:
-                            self.tell(session.OtherHolds(held, calls))
+                            self.tell(session.OtherProcessUsage(held, calls))
                         case handover.STANDS, [call, exchange]:
-                            self.tell(session.Bequeathed(call, exchange))
+                            self.tell(session.CallInherited(call, exchange))
                         case handover.OVER, [call, cause] if cause < 256:
-                            self.tell(session.PassedOn(call, cause))
+                            self.tell(session.ReleaseForwarded(call, cause))
                         case handover.SERVING, []:
                             serves = True
-                            self.tell(session.Succeeded(True))
+                            self.tell(session.SuccessorChanged(True))
                 self._others.remove(sock)
                 nursery.cancel_scope.cancel()
-        self.tell(session.OtherHolds(0))
+        self.tell(session.OtherProcessUsage(0))
         if serves:
-            self.tell(session.Succeeded(False))
+            self.tell(session.SuccessorChanged(False))
 
     async def _tell_held(self, sock: trio.socket.SocketType) -> None:
         while True:
@@ -360,7 +360,7 @@
             # The socket is closed before the reducer hears of it, so that its descriptor is free again.
             sock.close()
             self._outlets.pop(ident, None)
-            self.tell(session.Closed(ident))
+            self.tell(session.ConnectionClosed(ident))
 
     async def _read(self, ident: int, sock: trio.socket.SocketType) -> None:
         decoder = protocol.message_decoder()
@@ -368,17 +368,17 @@
             half = False
             while data := await _receive(sock):
                 for message in decoder.feed(data):
-                    self.tell(session.Heard(ident, message, self.polls.waited_us()))
+                    self.tell(session.MessageReceived(ident, message, self.polls.waited_us()))
                 if half or decoder.half_read:
                     half = decoder.half_read
-                    self.tell(session.HalfRead(ident, half))
+                    self.tell(session.PartialMessage(ident, half))
         except protocol.ProtocolError as error:
-            self.tell(session.Garbled(ident, str(error)))
+            self.tell(session.MalformedInput(ident, str(error)))
             # Guards the answers that are still owed: closing with input unread would reset the connection.
             while await sock.recv(RECEIVE):
                 pass
         else:
-            self.tell(session.Ended(ident))
+            self.tell(session.EndOfInput(ident))
 
     def _write(self, ident: int, outlet: _Outlet, data: bytes) -> None:
         """Write at once what the socket takes, as it nearly always takes all; a task writes the rest."""
@@ -391,7 +391,7 @@
             outlet.scope.cancel()
             return
         if written == len(data):
-            self.tell(session.Wrote(ident))
+            self.tell(session.WriteCompleted(ident))
         else:
             self._nursery.start_soon(self._guard, self._write_rest, ident, outlet, memoryview(data)[written:])
 
@@ -403,11 +403,11 @@
         except (OSError, trio.ClosedResourceError):
             outlet.scope.cancel()
         else:
-            self.tell(session.Wrote(ident))
+            self.tell(session.WriteCompleted(ident))
 
     # --- the command channel ---
 
-    async def _run_channel(self, follow: session.Follow, scope: trio.CancelScope) -> None:
+    async def _run_channel(self, follow: session.ConnectChannel, scope: trio.CancelScope) -> None:
         """One connection to the command channel, until it ends or the reducer asks for another."""
         reason = "closed"
         with scope:
@@ -419,7 +419,7 @@
                     decoder = protocol.frame_decoder()
                     while data := await sock.recv(RECEIVE):
                         for update in decoder.feed(data):
-                            self.tell(session.ListTold(update))
+                            self.tell(session.ListUpdateReceived(update))
             except (OSError, trio.TooSlowError, protocol.ProtocolError) as error:
                 reason = str(error) or type(error).__name__
         if not scope.cancelled_caught:
@@ -450,7 +450,7 @@
             if missing := self.config.keys - config.keys:
                 raise protocol.ConfigError(f"{', '.join(sorted(missing))} is missing")
         except Exception as error:  # noqa: BLE001 - whatever is in the file
-            self.tell(session.ConfigTurnedDown(str(error)))
+            self.tell(session.ConfigRejected(str(error)))
             return
         for name in ("name", "listen", "seed"):
             if getattr(config, name) != getattr(self.config, name):
--- a/latchturn/session/callers.py
+++ b/latchturn/session/callers.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 from ..protocol import Message, Release, ReleaseCause, ReleaseHeard, SetUp, Test, TestResult, Unusable
+from .inputs_and_effects import Close, ForwardRelease
 from .limits import (
     CALLERS_LEAST,
     CALLS_MOST,
@@ -21,7 +22,6 @@
 from .phases import Phase
 from .state import Caller
 from .trace import CloseReason, TraceEvent
-from .words import Close, PassOn
 
 
 class Callers(Part):
@@ -158,7 +158,7 @@
                 self.writing.queue(caller, ReleaseHeard(message.call))
                 if message.call not in self.calls.over:
                     if self.phases.other_calls:
-                        self.core.effects.append(PassOn(message.call, message.cause))
+                        self.core.effects.append(ForwardRelease(message.call, message.cause))
                     self.fault(caller, "releases of unknown calls")
             else:
                 if call.stands_at is not None:
--- a/latchturn/session/channel.py
+++ b/latchturn/session/channel.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from .inputs_and_effects import ConnectChannel
 from .limits import (
     CHANNEL_CONNECT_MOST_US,
     CHANNEL_CONNECT_US,
@@ -13,7 +14,6 @@
 from .part import Part
 from .timers import TimerKind
 from .trace import TraceEvent
-from .words import Follow
 
 
 class Channel(Part):
@@ -40,7 +40,7 @@
         self.heard_us = self.core.now
         self.core.note(TraceEvent.CHANNEL_ASKED, reason=f"{channel[0]}:{channel[1]} after event {self.cursor}")
         timeout_us = self._grown(CHANNEL_CONNECT_US, CHANNEL_CONNECT_MOST_US)
-        self.core.effects.append(Follow(channel, self.cursor, timeout_us))
+        self.core.effects.append(ConnectChannel(channel, self.cursor, timeout_us))
 
     def move(self, channel: tuple[str, int]) -> None:
         """A new configuration names an address: another one is asked at once.
--- a/latchturn/session/core.py
+++ b/latchturn/session/core.py
@@ -6,8 +6,8 @@
 from collections import Counter, deque
 
 from .. import interface as i
+from .inputs_and_effects import Effect, Log
 from .trace import LOGGED, Trace, TraceEvent, TraceRecord
-from .words import Effect, Log
 
 
 class Core:
--- a/latchturn/session/words.py
+++ b/latchturn/session/inputs_and_effects.py
@@ -41,14 +41,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Heard:
+class MessageReceived:
     stream: int
     message: Message
     waited_us: int = 0  # how long it may have lain unread
 
 
 @dataclass(slots=True, frozen=True)
-class Garbled:
+class MalformedInput:
     """Input that cannot be read; nothing more is read from the stream."""
 
     stream: int
@@ -56,7 +56,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class HalfRead:
+class PartialMessage:
     """Whether the input read last ends within a message; told when it does, and when it does no more."""
 
     stream: int
@@ -64,14 +64,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ended:
+class EndOfInput:
     """The peer sends no more, but may still read."""
 
     stream: int
 
 
 @dataclass(slots=True, frozen=True)
-class Closed:
+class ConnectionClosed:
     stream: int
 
 
@@ -87,20 +87,20 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Wrote:
+class WriteCompleted:
     """The last `Write` on the stream is through."""
 
     stream: int
 
 
 @dataclass(slots=True, frozen=True)
-class ListTold:
+class ListUpdateReceived:
     update: ListUpdate
 
 
 @dataclass(slots=True, frozen=True)
 class ChannelLost:
-    """The connection to the command channel that the last `Follow` asked for is no more."""
+    """The connection to the command channel that the last `ConnectChannel` asked for is no more."""
 
     reason: str
 
@@ -111,7 +111,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Operation:
+class AdminRequest:
     """A line at the admin listener; no command if it is none of an operator's. It is answered with a `Reply`."""
 
     connection: int
@@ -119,19 +119,19 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Listening:
+class ListenerReady:
     """The listener for callers serves."""
 
 
 @dataclass(slots=True, frozen=True)
-class Succeeded:
+class SuccessorChanged:
     """Whether a successor serves at the address; it was one that did, if not."""
 
     serves: bool
 
 
 @dataclass(slots=True, frozen=True)
-class OtherHolds:
+class OtherProcessUsage:
     """How many descriptors and calls the process before or after this one holds."""
 
     descriptors: int
@@ -139,7 +139,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Bequeathed:
+class CallInherited:
     """A call that stood at an exchange in the process before this one, which ends."""
 
     call: int
@@ -147,7 +147,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class PassedOn:
+class ReleaseForwarded:
     """A caller has told the other process that a call is over which may be one of this one's."""
 
     call: int
@@ -155,7 +155,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ConfigTurnedDown:
+class ConfigRejected:
     """A file read on SIGHUP cannot be used."""
 
     reason: str
@@ -167,9 +167,10 @@
 
 
 Input = (
-    Started | Reconfigured | Accepted | Heard | HalfRead | Garbled | Ended | Closed | Connected
-    | ConnectFailed | Wrote | ListTold | ChannelLost | Tick | Operation | Listening | ConfigTurnedDown
-    | Succeeded | OtherHolds | Bequeathed | PassedOn | Terminate
+    Started | Reconfigured | Accepted | MessageReceived | PartialMessage | MalformedInput | EndOfInput
+    | ConnectionClosed | Connected | ConnectFailed | WriteCompleted | ListUpdateReceived | ChannelLost | Tick
+    | AdminRequest | ListenerReady | ConfigRejected | SuccessorChanged | OtherProcessUsage | CallInherited
+    | ReleaseForwarded | Terminate
 )  # fmt: skip
 
 
@@ -185,7 +186,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Write:
-    """Write the messages; no other write on the stream is asked for until `Wrote`."""
+    """Write the messages; no other write on the stream is asked for until `WriteCompleted`."""
 
     stream: int
     messages: tuple[Message, ...]
@@ -198,13 +199,13 @@
 
 @dataclass(slots=True, frozen=True)
 class CloseIdle:
-    """Close if nothing lies unread on the stream; until `Closed` it is as it was."""
+    """Close if nothing lies unread on the stream; until `ConnectionClosed` it is as it was."""
 
     stream: int
 
 
 @dataclass(slots=True, frozen=True)
-class Follow:
+class ConnectChannel:
     """Connect to the command channel in place of any connection to it; ask for what follows an event."""
 
     address: tuple[str, int]
@@ -213,21 +214,21 @@
 
 
 @dataclass(slots=True, frozen=True)
-class TakeCallers:
+class AcceptCallers:
     """Accept connections from now on, as the one process at the address, or no more."""
 
     on: bool
 
 
 @dataclass(slots=True, frozen=True)
-class Bequeath:
+class HandOverCalls:
     """Tell the successor of calls that stand, each with its exchange: this process ends."""
 
     calls: tuple[tuple[int, int], ...]
 
 
 @dataclass(slots=True, frozen=True)
-class PassOn:
+class ForwardRelease:
     """Tell the other process that a call is over."""
 
     call: int
@@ -253,5 +254,6 @@
 
 
 Effect = (
-    Connect | Write | Close | CloseIdle | Follow | TakeCallers | Bequeath | PassOn | Reply | Log | Exit
+    Connect | Write | Close | CloseIdle | ConnectChannel | AcceptCallers | HandOverCalls | ForwardRelease
+    | Reply | Log | Exit
 )  # fmt: skip
--- a/latchturn/session/phases.py
+++ b/latchturn/session/phases.py
@@ -8,6 +8,7 @@
 
 from .. import operations
 from ..protocol import ListUpdate
+from .inputs_and_effects import AcceptCallers, CloseIdle, Exit, HandOverCalls
 from .limits import (
     DRAIN_LAST_US,
     DRAIN_QUIET_US,
@@ -29,7 +30,6 @@
 from .part import Part
 from .timers import TimerKind
 from .trace import CloseReason, TraceEvent
-from .words import Bequeath, CloseIdle, Exit, TakeCallers
 
 
 class Phase(Enum):
@@ -161,7 +161,7 @@
         self.move(PhaseMove.SUCCEED if serves else PhaseMove.RESUME)
         if self.term_us and not serves:
             return
-        self.core.effects.append(TakeCallers(not serves))
+        self.core.effects.append(AcceptCallers(not serves))
         if serves:
             self.core.log(f"succeeded: {len(self.callers.by_stream)} connections, {len(self.calls.by_id)} calls")
             self.drain(math.inf, math.inf)
@@ -174,7 +174,7 @@
         """The listener serves."""
         self.listening = True
         if not self.replaces:
-            self.core.effects.append(TakeCallers(True))
+            self.core.effects.append(AcceptCallers(True))
 
     def terminate(self) -> None:
         """SIGTERM: say by when all that is open is answered."""
@@ -210,11 +210,11 @@
         if self.replaces and not self.term_us and self.is_ready():
             self.replaces = False
             self.core.log("ready: this process takes over")
-            self.core.effects.append(TakeCallers(True))
+            self.core.effects.append(AcceptCallers(True))
         if self.term_us and self.state is not PhaseState.EXITED and self.closed_for_the_end():
             if self.succeeded:
                 standing = [(c.ident, c.stands_at) for c in self.calls.by_id.values()]
-                self.core.effects.append(Bequeath(tuple((k, at) for k, at in standing if at is not None)))
+                self.core.effects.append(HandOverCalls(tuple((k, at) for k, at in standing if at is not None)))
             self.move(PhaseMove.EXIT)
             self.core.effects.append(Exit())
 
--- a/latchturn/session/reducer.py
+++ b/latchturn/session/reducer.py
@@ -23,42 +23,42 @@
 from .end_notices import EndNotices
 from .exchanges import Exchanges
 from .housekeeping import Housekeeping
-from .links import Links
-from .liveness import Liveness
-from .missed_ends import MissedEnds
-from .module import Module
-from .part import Part
-from .phases import Phase, Phases
-from .state import Attempt, Call, Exchange, Link
-from .timers import TimerKind, Timers
-from .trace import CloseReason
-from .words import (
+from .inputs_and_effects import (
     Accepted,
-    Bequeathed,
+    AdminRequest,
+    CallInherited,
     ChannelLost,
-    Closed,
-    ConfigTurnedDown,
+    ConfigRejected,
     Connected,
     ConnectFailed,
+    ConnectionClosed,
     Effect,
-    Ended,
-    Garbled,
-    HalfRead,
-    Heard,
+    EndOfInput,
     Input,
-    Listening,
-    ListTold,
-    Operation,
-    OtherHolds,
-    PassedOn,
+    ListenerReady,
+    ListUpdateReceived,
+    MalformedInput,
+    MessageReceived,
+    OtherProcessUsage,
+    PartialMessage,
     Reconfigured,
+    ReleaseForwarded,
     Reply,
     Started,
-    Succeeded,
+    SuccessorChanged,
     Terminate,
     Tick,
-    Wrote,
+    WriteCompleted,
 )
+from .links import Links
+from .liveness import Liveness
+from .missed_ends import MissedEnds
+from .module import Module
+from .part import Part
+from .phases import Phase, Phases
+from .state import Attempt, Call, Exchange, Link
+from .timers import TimerKind, Timers
+from .trace import CloseReason
 from .writing import Writing
 
 
@@ -95,7 +95,7 @@
         try:
             self._take(happened)
         except Exception:  # noqa: BLE001
-            self._met_fault(happened.message.call if isinstance(happened, Heard) else 0)
+            self._met_fault(happened.message.call if isinstance(happened, MessageReceived) else 0)
         self._run_timers()
         self._settle()
         if self.phases.replaces or self.phases.term_us:
@@ -121,57 +121,57 @@
 
     def _take(self, happened: Input) -> None:
         match happened:
-            case Heard(stream, message, waited_us):
+            case MessageReceived(stream, message, waited_us):
                 if stream in self.links.by_stream:
                     self.exchanges.heard(self.links.by_stream[stream], message)
                 elif stream in self.callers.by_stream:
                     self.callers.heard(self.callers.by_stream[stream], message, waited_us)
-            case Wrote(stream):
+            case WriteCompleted(stream):
                 self.writing.wrote(stream)
             case Tick():
                 pass
             case Accepted(stream):
                 self.callers.accepted(stream)
-            case Garbled(stream, reason):
+            case MalformedInput(stream, reason):
                 self.core.counters["garbled"] += 1
                 if stream in self.callers.by_stream:
                     self.callers.shut(self.callers.by_stream[stream], reason)
                 else:
                     self.core.log(f"link {stream} sent what cannot be read: {reason}")
                     self.writing.peer_done(stream, CloseReason.GARBLED)
-            case HalfRead(stream, half):
+            case PartialMessage(stream, half):
                 if stream in self.links.by_stream:
                     self.links.half_read(self.links.by_stream[stream], half)
                 elif stream in self.callers.by_stream:
                     self.callers.half_read(self.callers.by_stream[stream], half)
-            case Ended(stream):
+            case EndOfInput(stream):
                 self.writing.peer_done(stream)
-            case Closed(stream):
+            case ConnectionClosed(stream):
                 self.writing.peer_reset(stream)
             case Connected(stream):
                 self.links.connected(stream)
             case ConnectFailed(stream, refused):
                 self.links.connect_failed(stream, refused)
-            case ListTold(update):
+            case ListUpdateReceived(update):
                 self.channel.heard(update.number)
                 self.exchanges.list_told(update)
             case ChannelLost(reason):
                 self.channel.ended(reason)
-            case Operation(connection, command):
+            case AdminRequest(connection, command):
                 self.core.effects.append(Reply(connection, self.phases.operate(command)))
-            case Listening():
+            case ListenerReady():
                 self.phases.listens()
-            case OtherHolds(descriptors, calls):
+            case OtherProcessUsage(descriptors, calls):
                 self.phases.other_holds, self.phases.other_calls = descriptors, calls
                 self.callers.make_room()
-            case Bequeathed(call, exchange):
+            case CallInherited(call, exchange):
                 self.calls.inherit(call, exchange)
-            case PassedOn(call, cause):
+            case ReleaseForwarded(call, cause):
                 if call in self.calls.by_id:
                     self.calls.told_over(self.calls.by_id[call], cause)
-            case Succeeded(serves):
+            case SuccessorChanged(serves):
                 self.phases.hand_over(serves)
-            case ConfigTurnedDown(reason):
+            case ConfigRejected(reason):
                 self.core.counters["sighup_rejected"] += 1
                 self.core.log(f"new configuration cannot be used, the old one stays: {reason}")
             case Started(known, cursor, channel, replaces):
--- a/latchturn/session/writing.py
+++ b/latchturn/session/writing.py
@@ -4,12 +4,12 @@
 
 from .. import interface as i
 from ..protocol import Message, Release, ReleaseCause, ReleaseHeard
+from .inputs_and_effects import Close, Write
 from .limits import MAX_OUTBOX, RESEND_US, STANDING_RELEASE_US, WRITE_BATCH
 from .machines import ATTEMPT, AttemptMove, StreamMove
 from .part import Part
 from .state import Attempt, Caller, GiveUpDue, Link, Outgoing, Stream
 from .trace import CloseReason, TraceEvent
-from .words import Close, Write
 
 
 class Writing(Part):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -183,7 +183,7 @@
         self.hold: set[int] = set()
         self.written: list[tuple[int, p.Message]] = []
         self.connects: list[s.Connect] = []
-        self.follows: list[s.Follow] = []
+        self.follows: list[s.ConnectChannel] = []
         self.closed: list[int] = []
         self.replies: list[str] = []
         self.bequeathed: tuple[tuple[int, int], ...] = ()
@@ -191,7 +191,7 @@
         self.ended = False
         update = p.ListUpdate(1, i.ListKind.FULL, tuple(listed(k) for k in range(far + 1)))
         self.do(s.Started((update,), 1, ("127.0.0.1", 9)))
-        self.do(s.Listening())
+        self.do(s.ListenerReady())
         self.link = {k: self.connects[k - 1].stream for k in range(1, far + 1)}
         self.second: dict[int, int] = {}  # the other link to each exchange
         for k, stream in self.link.items():
@@ -209,19 +209,19 @@
             if isinstance(effect, s.Write):
                 self.written += [(effect.stream, message) for message in effect.messages]
                 if effect.stream not in self.hold:
-                    self.do(s.Wrote(effect.stream))
+                    self.do(s.WriteCompleted(effect.stream))
             elif isinstance(effect, s.Connect):
                 self.connects.append(effect)
-            elif isinstance(effect, s.Follow):
+            elif isinstance(effect, s.ConnectChannel):
                 self.follows.append(effect)
             elif isinstance(effect, s.Close):
                 self.closed.append(effect.stream)
             elif isinstance(effect, s.CloseIdle):
-                self.do(s.Closed(effect.stream))
+                self.do(s.ConnectionClosed(effect.stream))
                 self.closed.append(effect.stream)
-            elif isinstance(effect, s.Bequeath):
+            elif isinstance(effect, s.HandOverCalls):
                 self.bequeathed = effect.calls
-            elif isinstance(effect, s.TakeCallers):
+            elif isinstance(effect, s.AcceptCallers):
                 self.taking.append(effect.on)
             elif isinstance(effect, s.Reply):
                 self.replies.append(effect.data.decode())
@@ -230,11 +230,11 @@
         return self.written[begin:]
 
     def hear(self, stream: int, message: p.Message) -> list[tuple[int, p.Message]]:
-        return self.do(s.Heard(stream, message))
+        return self.do(s.MessageReceived(stream, message))
 
     def ask(self, command: o.Command | None) -> str:
         """What the admin listener answers to a call."""
-        self.do(s.Operation(1, command))
+        self.do(s.AdminRequest(1, command))
         return self.replies[-1]
 
     def figure(self, name: str) -> int:
--- a/tests/test_checking.py
+++ b/tests/test_checking.py
@@ -64,12 +64,12 @@
     def test_a_drain_takes_back_what_waits_for_a_link(self) -> None:
         desk = Desk()
         for stream in (desk.link[1], desk.second[1]):
-            desk.do(s.Closed(stream))
+            desk.do(s.ConnectionClosed(stream))
         desk.hear(1, set_up(5))
         call = desk.session.calls.by_id[5]
         self.assertIsNotNone(call.attempt)
         draining = p.ListUpdate(2, i.ListKind.CHANGES, (listed(1, state=i.ListState.DRAINING),))
-        written = desk.do(s.ListTold(draining))
+        written = desk.do(s.ListUpdateReceived(draining))
         self.assertEqual(desk.session.counters["attempts_not_sent"], 1)
         self.assertTrue(all(k != desk.link[1] for k, _ in written))
         self.assertIsInstance(written[-1][1], p.Release | p.SetUp)  # answered, or on its way elsewhere
@@ -79,7 +79,7 @@
         desk.hear(1, set_up(5))
         desk.hold.add(desk.link[1])
         desk.pass_time(1_600_000)  # timed out, its give-up held
-        desk.do(s.Wrote(desk.link[1]))
+        desk.do(s.WriteCompleted(desk.link[1]))
         held = [t for _, _, t in desk.session.timers.heap if isinstance(t.what, s.Attempt)]
         self.assertEqual(held, [])
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -35,7 +35,7 @@
     def test_it_takes_no_callers_and_closes_connections_as_they_become_idle(self) -> None:
         desk = self.desk
         desk.hear(2, set_up(5))
-        desk.do(s.Succeeded(True))
+        desk.do(s.SuccessorChanged(True))
         self.assertEqual((desk.taking, desk.ask(PING)), ([True, False], "ERR ending\n"))
         # The front's tests mean the address, and a successor serves there.
         self.assertEqual(desk.hear(3, p.Test(9)), [(3, p.TestResult(9, True))])
@@ -52,7 +52,7 @@
         desk = self.desk
         desk.hear(2, set_up(5))
         desk.hear(desk.link[1], p.Answer(5, b"yes"))
-        desk.do(s.Succeeded(True))
+        desk.do(s.SuccessorChanged(True))
         desk.pass_time_in_touch(10 * SECOND)
         self.assertEqual(sorted(desk.closed), [1, 3])
         desk.do(s.Terminate())
@@ -64,7 +64,7 @@
 
     def test_late_set_ups_are_refused_so_that_no_connection_stays_busy(self) -> None:
         desk = self.desk
-        desk.do(s.Succeeded(True))
+        desk.do(s.SuccessorChanged(True))
         desk.do(s.Terminate())
         desk.hear(2, set_up(5))
         desk.pass_time(SECOND)
@@ -76,14 +76,14 @@
 
     def test_it_serves_again_where_the_successor_goes_before_sigterm(self) -> None:
         desk = self.desk
-        desk.do(s.Succeeded(True))
-        desk.do(s.Succeeded(False))
+        desk.do(s.SuccessorChanged(True))
+        desk.do(s.SuccessorChanged(False))
         self.assertEqual((desk.taking, desk.ask(PING)), ([True, False, True], "OK serving\n"))
         desk.pass_time(SECOND)
         self.assertEqual(desk.closed, [])
-        desk.do(s.Succeeded(True))
+        desk.do(s.SuccessorChanged(True))
         desk.do(s.Terminate())
-        desk.do(s.Succeeded(False))
+        desk.do(s.SuccessorChanged(False))
         self.assertEqual(desk.taking, [True, False, True, False])
 
 
@@ -94,27 +94,27 @@
         told = [effect for effect in new.step(ready.now, s.Started((), 1, ("127.0.0.1", 9), True))]
         new.exchanges.by_id = ready.session.exchanges.by_id
         new.exchanges.by_id[102].sends_group_states = False
-        told += new.step(ready.now, s.Listening())
-        self.assertNotIn(s.TakeCallers(True), told)
+        told += new.step(ready.now, s.ListenerReady())
+        self.assertNotIn(s.AcceptCallers(True), told)
         self.assertIs(new.phase, s.Phase.STARTING)
         new.exchanges.by_id[102].sends_group_states = True
-        self.assertIn(s.TakeCallers(True), new.step(ready.now, s.Tick()))
-        self.assertNotIn(s.TakeCallers(True), new.step(ready.now, s.Tick()))
+        self.assertIn(s.AcceptCallers(True), new.step(ready.now, s.Tick()))
+        self.assertNotIn(s.AcceptCallers(True), new.step(ready.now, s.Tick()))
 
     def test_one_that_is_told_to_end_before_it_is_ready_takes_none(self) -> None:
         new = s.Session(Desk().session.classes.settings, 7, 1024)
-        for happened in (s.Started((), 1, ("127.0.0.1", 9), True), s.Terminate(), s.Listening()):
-            self.assertNotIn(s.TakeCallers(True), new.step(SECOND, happened))
+        for happened in (s.Started((), 1, ("127.0.0.1", 9), True), s.Terminate(), s.ListenerReady()):
+            self.assertNotIn(s.AcceptCallers(True), new.step(SECOND, happened))
 
     def test_what_the_other_process_holds_comes_off_the_budget(self) -> None:
         desk = Desk(far=2, sockets=200)
         for stream in (2, 3):
             desk.do(s.Accepted(stream))
-        desk.do(s.OtherHolds(200 - 2 * limits.CALLERS_LEAST))
+        desk.do(s.OtherProcessUsage(200 - 2 * limits.CALLERS_LEAST))
         self.assertEqual(desk.closed, [1])
         desk.do(s.Accepted(4))
         self.assertEqual(desk.closed, [1, 2])
-        desk.do(s.OtherHolds(0))
+        desk.do(s.OtherProcessUsage(0))
         desk.do(s.Accepted(5))
         self.assertEqual(desk.closed, [1, 2])
 
@@ -125,7 +125,7 @@
     def test_the_old_one_bequeaths_what_stands(self) -> None:
         desk = Desk()
         desk.stand(5)
-        desk.do(s.Succeeded(True))
+        desk.do(s.SuccessorChanged(True))
         desk.do(s.Terminate())
         desk.pass_time(4 * SECOND)
         self.assertTrue(desk.ended)
@@ -135,11 +135,11 @@
         for by_exchange in (True, False):
             desk = Desk()
             desk.stand(6, to=2)
-            desk.do(s.OtherHolds(30, calls=4))
+            desk.do(s.OtherProcessUsage(30, calls=4))
             self.assertEqual(desk.figure("outstanding"), 5)
-            desk.do(s.Bequeathed(5, 101))
-            desk.do(s.Bequeathed(7, 999))  # an exchange that has gone
-            desk.do(s.OtherHolds(0))
+            desk.do(s.CallInherited(5, 101))
+            desk.do(s.CallInherited(7, 999))  # an exchange that has gone
+            desk.do(s.OtherProcessUsage(0))
             self.assertEqual(desk.figure("outstanding"), 2)
             over = p.Release(5, p.ReleaseCause.NORMAL)
             if by_exchange:
@@ -154,13 +154,13 @@
     def test_a_callers_release_of_the_others_call_is_passed_on(self) -> None:
         desk = Desk()
         over = p.Release(5, p.ReleaseCause.NORMAL)
-        desk.do(s.OtherHolds(30, calls=1))
-        effects = desk.session.step(desk.now, s.Heard(1, over))
-        self.assertIn(s.PassOn(5, over.cause), effects)
+        desk.do(s.OtherProcessUsage(30, calls=1))
+        effects = desk.session.step(desk.now, s.MessageReceived(1, over))
+        self.assertIn(s.ForwardRelease(5, over.cause), effects)
         desk.stand(8)
-        written = desk.do(s.PassedOn(8, over.cause))
+        written = desk.do(s.ReleaseForwarded(8, over.cause))
         self.assertIn((desk.link[1], p.Release(8, over.cause)), written)
-        self.assertEqual(desk.do(s.PassedOn(9, over.cause)), [])
+        self.assertEqual(desk.do(s.ReleaseForwarded(9, over.cause)), [])
 
 
 class Words(unittest.TestCase):
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -63,7 +63,7 @@
     def test_nor_do_lost_links(self) -> None:
         for stream in (self.desk.link[1], self.desk.second[1]):
             self.desk.pass_time(2 * SECOND)
-            self.desk.do(s.Ended(stream))
+            self.desk.do(s.EndOfInput(stream))
         self.assertTrue(CHANCE_US < self.told_after() < TOLD_US)
 
     def test_a_silent_exchange_that_refuses_links_has_died(self) -> None:
@@ -139,8 +139,8 @@
 
     def test_one_that_drains_may_end_its_links_and_be_heard_on_others(self) -> None:
         desk = self.desk
-        desk.do(s.ListTold(p.ListUpdate(2, i.ListKind.CHANGES, (listed(1, state=i.ListState.DRAINING),))))
-        desk.do(s.Ended(desk.link[1]))
+        desk.do(s.ListUpdateReceived(p.ListUpdate(2, i.ListKind.CHANGES, (listed(1, state=i.ListState.DRAINING),))))
+        desk.do(s.EndOfInput(desk.link[1]))
         desk.do(s.ConnectFailed(desk.connects[-1].stream, True))
         for k in range(40):
             desk.pass_time(SECOND // 4)
@@ -149,7 +149,7 @@
 
     def test_ends_that_may_be_told_on_a_link_that_we_closed_are_asked_for_on_a_new_one(self) -> None:
         desk = self.desk
-        desk.do(s.HalfRead(desk.link[1], True))
+        desk.do(s.PartialMessage(desk.link[1], True))
         desk.pass_time(limits.LINK_HALF_READ_US)
         self.assertEqual(desk.closed, [desk.link[1]])
         desk.do(s.Connected(desk.connects[-1].stream))
@@ -174,7 +174,7 @@
         desk = self.desk
         for k in range(3):
             desk.stand(10 + k)
-        desk.do(s.HalfRead(desk.link[1], True))
+        desk.do(s.PartialMessage(desk.link[1], True))
         connects, done = len(desk.connects), len(desk.connects)
         for _ in range(60):
             desk.pass_time_in_touch(SECOND // 4, SECOND // 4)
@@ -197,7 +197,7 @@
 
     def test_what_comes_first_on_a_new_link_is_missed_by_no_other(self) -> None:
         desk = self.desk
-        desk.do(s.Closed(desk.second[1]))
+        desk.do(s.ConnectionClosed(desk.second[1]))
         new = desk.connects[-1].stream
         desk.do(s.Connected(new))
         desk.hear(new, group_state(6))
@@ -226,7 +226,7 @@
 
     def test_all_links_reset_at_once_end_its_calls_though_connects_succeed(self) -> None:
         desk = self.desk
-        written = [message for stream in self.old for message in desk.do(s.Closed(stream))]
+        written = [message for stream in self.old for message in desk.do(s.ConnectionClosed(stream))]
         self.assertIn((1, END), written)
 
     def reset_after_silence(self) -> None:
@@ -234,7 +234,7 @@
         self.began = self.desk.now
         self.desk.pass_time(2 * SECOND)
         for stream in self.old:
-            self.desk.do(s.Closed(stream))
+            self.desk.do(s.ConnectionClosed(stream))
         self.come_up()
 
     def come_up(self) -> None:
@@ -271,9 +271,9 @@
 
     def test_one_link_reset_ends_nothing(self) -> None:
         desk = self.desk
-        desk.do(s.Closed(self.old[0]))
+        desk.do(s.ConnectionClosed(self.old[0]))
         desk.do(s.Connected(desk.connects[-1].stream))
-        desk.do(s.Closed(self.old[1]))
+        desk.do(s.ConnectionClosed(self.old[1]))
         self.assertIn(5, desk.session.calls.by_id)
 
     def silent_then_new(self) -> list[tuple[int, p.Message]]:
@@ -289,7 +289,7 @@
         written = self.silent_then_new()
         self.assertNotIn((1, END), written)
         for witness in self.old:
-            self.desk.do(s.Closed(witness))
+            self.desk.do(s.ConnectionClosed(witness))
         self.assertIn((1, END), self.desk.hear(self.new, group_state(39)))
 
     def test_or_when_the_time_is_up_while_the_old_link_stays_silent(self) -> None:
--- a/tests/test_missed_ends.py
+++ b/tests/test_missed_ends.py
@@ -27,7 +27,7 @@
         self.answered = 0
 
     def lose(self, stream: int) -> None:
-        self.desk.do(s.Closed(stream))
+        self.desk.do(s.ConnectionClosed(stream))
 
     def come_up(self, speaks: bool = True) -> list[int]:
         """Have the links come up that have been asked for; an exchange that runs speaks first on each."""
@@ -142,7 +142,7 @@
     def setUp(self) -> None:
         self.desk = Desk()
         old, new = listed(1, port=7), listed(2, port=7)
-        self.desk.do(s.ListTold(p.ListUpdate(2, i.ListKind.FULL, (listed(0), old, new))))
+        self.desk.do(s.ListUpdateReceived(p.ListUpdate(2, i.ListKind.FULL, (listed(0), old, new))))
         for connect in self.desk.connects[-2:]:
             self.desk.do(s.Connected(connect.stream))
             self.desk.hear(connect.stream, group_state(3))
@@ -163,7 +163,7 @@
 
     def test_a_link_to_the_other_that_is_lost_in_the_queue_may_have_been_told_the_end(self) -> None:
         desk, began_us = self.desk, self.desk.now
-        desk.do(s.Ended(self.links[102]))
+        desk.do(s.EndOfInput(self.links[102]))
         coming = [k for k, link in desk.session.links.by_stream.items() if link.exchange == 102 and not link.up_us]
         for stream in coming:
             desk.do(s.Connected(stream))
@@ -171,7 +171,7 @@
         desk.pass_time_in_touch(SECOND, SECOND // 4)
         lost = next(k for k, link in desk.session.links.by_stream.items() if link.exchange == 101 and not link.up_us)
         desk.do(s.Connected(lost))
-        desk.do(s.Closed(lost))
+        desk.do(s.ConnectionClosed(lost))
         written = desk.pass_time_in_touch(began_us + TOLD_US - desk.now, SECOND // 4)
         self.assertIn((1, CUT), written)
 
@@ -182,20 +182,20 @@
     def test_a_link_is_opened_on_which_its_end_is_told_again(self) -> None:
         desk = Desk()
         connects = len(desk.connects)
-        desk.do(s.Bequeathed(7, 101))
+        desk.do(s.CallInherited(7, 101))
         desk.pass_time_in_touch(SOON_US, SOON_US // 4)
         self.assertEqual(len(desk.connects), connects + 1)
 
     def test_it_goes_on_until_its_end(self) -> None:
         desk = Desk()
-        desk.do(s.Bequeathed(7, 101))
+        desk.do(s.CallInherited(7, 101))
         desk.pass_time_in_touch(3 * TOLD_US)
         self.assertIn(7, desk.session.calls.by_id)
 
     def start_among_hung_exchanges(self) -> tuple[Desk, int]:
         """A process has just started; a link to an exchange that hangs is up and silent."""
         desk = Desk()
-        desk.do(s.Closed(desk.second[1]))
+        desk.do(s.ConnectionClosed(desk.second[1]))
         stream = desk.connects[-1].stream
         desk.do(s.Connected(stream))
         return desk, stream
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -56,7 +56,7 @@
         desk.hold.add(link)
         desk.hear(1, set_up(1))
         self.assertEqual(desk.figure("forwards"), 0)
-        desk.do(s.Wrote(link))
+        desk.do(s.WriteCompleted(link))
         self.assertEqual(desk.figure("forwards"), 1)
 
     def test_a_silent_exchange_is_told_as_avoided(self) -> None:
@@ -68,7 +68,7 @@
 
     def test_info_is_the_live_registry(self) -> None:
         desk = Desk()
-        desk.do(s.ConfigTurnedDown("it is empty"))
+        desk.do(s.ConfigRejected("it is empty"))
         lines = desk.ask(C.INFO).splitlines()
         self.assertEqual((lines[0], lines[-1]), ("OK serving", "END"))
         self.assertIn("edge_gw.sighup_rejected:1|c", lines)
@@ -149,7 +149,7 @@
         desk.ask(C.LAMEDUCK)
         desk.pass_time(SECOND * 19 // 10)
         desk.do(s.Accepted(7))
-        desk.do(s.HalfRead(7, True))
+        desk.do(s.PartialMessage(7, True))
         desk.pass_time(SECOND)
         self.assertNotIn(7, desk.closed)
         desk.pass_time(SECOND * 7 // 10)
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -31,7 +31,7 @@
         answer = p.Answer(5, b"\0as it is")
         self.assertEqual(desk.hear(self.link[1], answer), [(1, answer)])
         desk.do(s.Accepted(2))
-        desk.do(s.Closed(1))
+        desk.do(s.ConnectionClosed(1))
         desk.hear(2, set_up(6))
         written = desk.hear(self.link[1], p.Release(5, GIVE_UP))
         self.assertIn((2, p.Release(5, GIVE_UP)), written)
@@ -42,7 +42,7 @@
         for wait_us, heard in ((7 * SECOND, True), (9 * SECOND, False)):
             desk = Desk()
             desk.stand(5)
-            desk.do(s.Closed(1))
+            desk.do(s.ConnectionClosed(1))
             desk.hear(desk.link[1], p.Release(5, GIVE_UP))
             desk.pass_time(wait_us)
             desk.do(s.Accepted(2))
@@ -57,7 +57,7 @@
             desk.hear(desk.link[1], p.Release(5, GIVE_UP))
             if heard:
                 desk.hear(1, p.ReleaseHeard(5))
-            written = desk.do(s.Closed(1)) + desk.pass_time(SECOND)
+            written = desk.do(s.ConnectionClosed(1)) + desk.pass_time(SECOND)
             self.assertEqual(written, [] if heard else [(2, p.Release(5, GIVE_UP))])
 
     def test_a_release_that_is_not_confirmed_goes_another_way_too(self) -> None:
@@ -88,7 +88,7 @@
             desk.do(s.Accepted(stranger))
         desk.hear(3, p.Test(1))
         desk.hear(4, set_up(7, to=2))
-        desk.do(s.Closed(1))
+        desk.do(s.ConnectionClosed(1))
         written = desk.hear(self.link[1], p.Release(5, GIVE_UP))
         self.assertIn((2, p.Release(5, GIVE_UP)), written)
 
@@ -98,19 +98,19 @@
         for stream in (2, 3):
             desk.do(s.Accepted(stream))
         desk.hear(self.link[1], p.Release(5, GIVE_UP))
-        desk.do(s.Closed(1))
+        desk.do(s.ConnectionClosed(1))
         desk.pass_time(limits.HOLD_RELEASE_US + limits.SWEEP_US)
         self.assertIn((2, p.Release(5, GIVE_UP)), desk.written)
-        self.assertEqual(desk.do(s.Closed(2)), [(3, p.Release(5, GIVE_UP))])
+        self.assertEqual(desk.do(s.ConnectionClosed(2)), [(3, p.Release(5, GIVE_UP))])
 
     def test_a_callers_release_reaches_the_exchange_even_over_a_new_link(self) -> None:
         self.desk.stand(5)
-        self.desk.do(s.Closed(self.link[1]))
+        self.desk.do(s.ConnectionClosed(self.link[1]))
         self.desk.hear(1, p.Release(5, GIVE_UP))
         other = self.desk.second[1]
         self.assertIn((other, p.Release(5, GIVE_UP)), self.desk.written)
         # Nothing tells that it has arrived, so it goes over the next link too if this one is closed.
-        self.desk.do(s.Closed(other))
+        self.desk.do(s.ConnectionClosed(other))
         again = self.desk.connects[-1].stream
         self.assertEqual(self.desk.do(s.Connected(again)), [(again, p.Release(5, GIVE_UP))])
 
@@ -172,11 +172,11 @@
 
     def test_a_caller_that_vanishes_has_its_set_ups_given_up(self) -> None:
         self.desk.hear(1, set_up(5))
-        self.assertEqual(self.desk.do(s.Closed(1)), [(self.link[1], p.Release(5, GIVE_UP))])
+        self.assertEqual(self.desk.do(s.ConnectionClosed(1)), [(self.link[1], p.Release(5, GIVE_UP))])
 
     def test_a_caller_that_sends_no_more_still_gets_its_answer(self) -> None:
         self.desk.hear(1, set_up(5))
-        self.desk.do(s.Ended(1))
+        self.desk.do(s.EndOfInput(1))
         self.assertEqual(self.desk.closed, [])
         answer = p.Answer(5, b"yes")
         self.assertEqual(self.desk.hear(self.link[1], answer), [(1, answer)])
@@ -194,7 +194,7 @@
 
     def test_time_unread_comes_off_the_wait(self) -> None:
         self.desk.session.module.controller.handle = lambda *_: []  # type: ignore[method-assign]
-        self.desk.do(s.Heard(1, set_up(5, wait_ms=1000), 300_000))
+        self.desk.do(s.MessageReceived(1, set_up(5, wait_ms=1000), 300_000))
         self.assertEqual(sent(self.desk.pass_time(700_000), p.Release), [1])
 
     def test_a_call_that_the_module_forgets_fails_at_its_deadline(self) -> None:
@@ -244,20 +244,20 @@
                 desk = Desk()
                 desk.hear(1, set_up(5))
                 link = desk.link[1]
-                desk.hear(link, message) if message else desk.do(s.Closed(link))
+                desk.hear(link, message) if message else desk.do(s.ConnectionClosed(link))
                 self.assertEqual(desk.session.counters[f"attempts_{outcome}"], 1)
 
     def test_a_set_up_that_waits_for_its_link_is_checked_as_it_leaves(self) -> None:
         def changed(desk: Desk) -> None:
             update = p.ListUpdate(2, i.ListKind.CHANGES, (listed(1, state=i.ListState.DRAINING),))
-            desk.do(s.ListTold(update))
+            desk.do(s.ListUpdateReceived(update))
 
         def late(desk: Desk) -> None:
             desk.pass_time(1_500_000)
 
         for happens, counter in ((changed, "attempts_not_sent"), (late, "attempts_unreachable")):
             desk = Desk(far=1)
-            desk.do(s.Closed(desk.link[1]))
+            desk.do(s.ConnectionClosed(desk.link[1]))
             desk.hear(1, set_up(5))
             happens(desk)
             written = desk.do(s.Connected(desk.connects[-1].stream))
@@ -312,7 +312,7 @@
 
     def test_its_exchange_is_told_once_the_call_is_over(self) -> None:
         desk = self.desk
-        written = desk.do(s.Closed(desk.link[1]))
+        written = desk.do(s.ConnectionClosed(desk.link[1]))
         self.assertEqual(self.released(written), [])  # a later attempt there has the same id
         self.assertEqual(self.released(desk.hear(1, p.Release(5, GIVE_UP))), [101])
 
@@ -320,7 +320,7 @@
         for direct_is_full, told in ((False, []), (True, [101])):
             self.setUp()
             desk = self.desk
-            desk.do(s.Closed(desk.link[1]))
+            desk.do(s.ConnectionClosed(desk.link[1]))
             if direct_is_full:
                 desk.hear(desk.second[1], group_state(0))
             desk.pass_time(SECOND // 2)
@@ -333,7 +333,7 @@
     def test_a_give_up_that_a_lost_link_may_not_have_carried_is_sent_again(self) -> None:
         desk = self.desk
         desk.hear(1, p.Release(5, GIVE_UP))
-        self.assertEqual(self.released(desk.do(s.Closed(desk.link[1]))), [101])
+        self.assertEqual(self.released(desk.do(s.ConnectionClosed(desk.link[1]))), [101])
 
 
 class Exchanges(unittest.TestCase):
@@ -346,7 +346,7 @@
         idle = desk.connects[-1].stream
         desk.do(s.Connected(idle))
         desk.stand(5)
-        desk.do(s.Closed(desk.link[1]))
+        desk.do(s.ConnectionClosed(desk.link[1]))
         written = desk.do(s.ConnectFailed(desk.connects[-1].stream, refused=True))
         self.assertIn((1, p.Release(5, p.ReleaseCause.TEMPORARY_FAILURE)), written)
         self.assertIn(idle, desk.closed)
@@ -356,9 +356,9 @@
     def test_an_exchange_that_drains_may_refuse_links_and_its_calls_go_on(self) -> None:
         desk = Desk()
         desk.stand(5)
-        desk.do(s.ListTold(p.ListUpdate(2, i.ListKind.CHANGES, (listed(1, state=i.ListState.DRAINING),))))
+        desk.do(s.ListUpdateReceived(p.ListUpdate(2, i.ListKind.CHANGES, (listed(1, state=i.ListState.DRAINING),))))
         for stream in (desk.link[1], desk.second[1]):
-            desk.do(s.Closed(stream))
+            desk.do(s.ConnectionClosed(stream))
         written = desk.do(s.ConnectFailed(desk.connects[-1].stream, True)) + desk.pass_time(SECOND)
         self.assertEqual(sent(written, p.Release), [])
         self.assertIn(5, desk.session.calls.by_id)
@@ -381,22 +381,22 @@
 
         def restart(desk: Desk) -> s.Input:
             started = listed(1, started=desk.now + 1)
-            return s.ListTold(p.ListUpdate(2, i.ListKind.CHANGES, (started,)))
+            return s.ListUpdateReceived(p.ListUpdate(2, i.ListKind.CHANGES, (started,)))
 
-        for happens in (lambda _: s.ListTold(gone), lambda _: s.ListTold(unnamed), restart):
+        for happens in (lambda _: s.ListUpdateReceived(gone), lambda _: s.ListUpdateReceived(unnamed), restart):
             desk = Desk()
             desk.stand(5)
             self.assertEqual(sent(desk.do(happens(desk)), p.Release), [1])
         desk = Desk()
         desk.stand(5)
-        desk.do(s.Closed(desk.link[1]))  # the other stays open, and silent
+        desk.do(s.ConnectionClosed(desk.link[1]))  # the other stays open, and silent
         desk.do(s.ConnectFailed(desk.connects[-1].stream, refused=False))
         self.assertEqual(sent(desk.pass_time(limits.SILENT_US + SECOND), p.Release), [1])
 
     def test_links_come_back_with_growing_pauses(self) -> None:
         desk = Desk(far=1)
-        desk.do(s.Closed(desk.second[1]))
-        desk.do(s.Closed(desk.link[1]))
+        desk.do(s.ConnectionClosed(desk.second[1]))
+        desk.do(s.ConnectionClosed(desk.link[1]))
         pauses = []
         for _ in range(8):
             before = desk.now
@@ -413,7 +413,7 @@
     def test_an_old_event_of_the_channel_is_passed_over(self) -> None:
         desk = Desk()
         update = p.ListUpdate(1, i.ListKind.CHANGES, (listed(1, state=i.ListState.GONE),))
-        desk.do(s.ListTold(update))
+        desk.do(s.ListUpdateReceived(update))
         self.assertEqual(desk.closed, [])
 
     def test_a_release_of_a_call_from_before_a_restart_is_passed_on(self) -> None:
@@ -435,7 +435,7 @@
             new = p.Listed(i.ListEntry(200 + k, 1, i.ListState.READY, 0), ("127.0.0.1", 5 + k % 3))
             old = listed(1, state=i.ListState.GONE) if k == 0 else dataclasses.replace(new, entry=i.ListEntry(
                 199 + k, 1, i.ListState.GONE, 0))  # fmt: skip
-            desk.do(s.ListTold(p.ListUpdate(2 + k, i.ListKind.CHANGES, (old, new))))
+            desk.do(s.ListUpdateReceived(p.ListUpdate(2 + k, i.ListKind.CHANGES, (old, new))))
             desk.do(s.Connected(desk.connects[-1].stream))
             desk.hear(desk.connects[-2].stream, group_state(20))
             self.assertEqual(sent(desk.hear(1, set_up(5 + k)), p.SetUp), [desk.connects[-2].stream])
@@ -449,7 +449,7 @@
         # Else calls would reach the new one under the old id, until the word of the old one's end has come.
         desk = Desk(far=1)
         moved = p.Listed(i.ListEntry(300, 1, i.ListState.READY, 0), listed(1).address)
-        desk.do(s.ListTold(p.ListUpdate(2, i.ListKind.CHANGES, (moved,))))
+        desk.do(s.ListUpdateReceived(p.ListUpdate(2, i.ListKind.CHANGES, (moved,))))
         self.assertIn(desk.link[1], desk.closed)
         self.assertEqual(list(desk.session.exchanges.by_id), [100, 300])
         self.assertEqual(list(desk.session.module.controller.exchanges), [100, 300])
@@ -469,7 +469,7 @@
     def test_a_half_read_link_gets_no_set_ups_and_is_closed(self) -> None:
         desk = self.desk
         desk.hear(1, set_up(4))
-        desk.do(s.HalfRead(self.link, True))
+        desk.do(s.PartialMessage(self.link, True))
         self.assertEqual(sent(desk.hear(1, set_up(5)), p.SetUp), [self.other])
         desk.pass_time(limits.LINK_HALF_READ_US)
         self.assertEqual(desk.closed, [self.link])
@@ -477,7 +477,7 @@
 
     def test_a_message_that_becomes_whole_leaves_its_link_open(self) -> None:
         for step in (True, False):
-            self.desk.do(s.HalfRead(self.link, step))
+            self.desk.do(s.PartialMessage(self.link, step))
         self.desk.pass_time(SECOND)
         self.assertEqual(self.desk.closed, [])
 
@@ -504,14 +504,14 @@
 
     def test_the_reset_of_a_new_link_is_no_end_of_an_attempt_not_sent(self) -> None:
         desk = self.desk
-        desk.do(s.Closed(self.other))
-        desk.do(s.Closed(self.link))
+        desk.do(s.ConnectionClosed(self.other))
+        desk.do(s.ConnectionClosed(self.link))
         new = desk.connects[-1].stream
         desk.hold.add(new)
         desk.do(s.Connected(new))
         desk.hear(new, p.Test(1))  # a write that does not get through
         desk.hear(1, set_up(5))
-        desk.do(s.Closed(new))
+        desk.do(s.ConnectionClosed(new))
         again = next(c.stream for c in desk.connects if c.stream in desk.session.links.by_stream
                      and desk.session.links.by_stream[c.stream].attempts)  # fmt: skip
         self.assertEqual(sent(desk.do(s.Connected(again)), p.SetUp), [again])
@@ -556,7 +556,7 @@
         for stream in (2, 3, 4):
             desk.do(s.Accepted(stream))
         desk.hear(3, set_up(5))
-        desk.do(s.HalfRead(1, True))
+        desk.do(s.PartialMessage(1, True))
         desk.hear(4, p.Unknown(1, 123))
         desk.pass_time(2_500_000)
         self.assertEqual(desk.closed, [])  # what comes in pieces may be whole by now
@@ -570,7 +570,7 @@
     def test_after_input_that_cannot_be_read_open_calls_fail_and_the_connection_closes(self) -> None:
         desk = self.desk
         desk.hear(1, set_up(5))
-        written = desk.do(s.Garbled(1, "message of 3 bytes"))
+        written = desk.do(s.MalformedInput(1, "message of 3 bytes"))
         self.assertIn((1, p.Release(5, p.ReleaseCause.TEMPORARY_FAILURE)), written)
         self.assertIn((desk.link[1], p.Release(5, GIVE_UP)), written)
         self.assertEqual(desk.closed, [1])
@@ -622,10 +622,10 @@
             desk.pass_time(100_000)
             desk.do(s.Accepted(stream))
             if stream % 3 == 0 and stream < 30:
-                desk.do(s.HalfRead(2, True))
+                desk.do(s.PartialMessage(2, True))
             if stream == 31:
                 desk.hear(2, set_up(5))
-                desk.do(s.HalfRead(2, False))
+                desk.do(s.PartialMessage(2, False))
         self.assertNotIn(2, desk.closed)
         self.assertGreater(len(desk.closed), 20)
 
@@ -783,11 +783,11 @@
         desk = self.desk
         for _ in range(8):
             desk.pass_time(SECOND)
-            desk.do(s.ListTold(p.ListUpdate(0, None)))
+            desk.do(s.ListUpdateReceived(p.ListUpdate(0, None)))
         self.assertEqual(len(desk.follows), 1)
-        desk.do(s.ListTold(p.ListUpdate(2, i.ListKind.CHANGES, (listed(1, state=i.ListState.DRAINING),))))
+        desk.do(s.ListUpdateReceived(p.ListUpdate(2, i.ListKind.CHANGES, (listed(1, state=i.ListState.DRAINING),))))
         desk.pass_time(4 * SECOND - limits.CHANNEL_CONNECT_US - SECOND)
-        self.assertEqual(desk.follows[1:], [s.Follow(("127.0.0.1", 9), 2, limits.CHANNEL_CONNECT_US)])
+        self.assertEqual(desk.follows[1:], [s.ConnectChannel(("127.0.0.1", 9), 2, limits.CHANNEL_CONNECT_US)])
 
     def test_an_event_written_twice_or_known_counts_once(self) -> None:
         # The whole list of the start, coming again, would bring back an exchange that has gone.
@@ -795,12 +795,12 @@
         whole = p.ListUpdate(1, i.ListKind.FULL, tuple(listed(k) for k in range(3)))
         gone = p.ListUpdate(2, i.ListKind.CHANGES, (listed(1, state=i.ListState.GONE),))
         draining = p.ListUpdate(3, i.ListKind.CHANGES, (listed(2, state=i.ListState.DRAINING),))
-        desk.do(s.ListTold(gone))
+        desk.do(s.ListUpdateReceived(gone))
         count = len(desk.connects)
-        desk.do(s.ListTold(whole))
+        desk.do(s.ListUpdateReceived(whole))
         desk.do(s.Reconfigured((whole, gone, draining), ("127.0.0.1", 10), 512, desk.settings))
         self.assertNotIn(101, desk.session.exchanges.by_id)
         self.assertEqual(len(desk.connects), count)
         self.assertEqual(desk.session.exchanges.by_id[102].state, i.ListState.DRAINING)
-        self.assertEqual(desk.follows[-1], s.Follow(("127.0.0.1", 10), 3, limits.CHANNEL_CONNECT_US))
+        self.assertEqual(desk.follows[-1], s.ConnectChannel(("127.0.0.1", 10), 3, limits.CHANNEL_CONNECT_US))
         self.assertEqual(desk.session.core.sockets, 512)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -185,7 +185,7 @@
             for name, text in texts.items():
                 path.write_text(text)
                 node._reconfigure()
-                self.assertIsInstance(inputs.pop(), s.ConfigTurnedDown, name)
+                self.assertIsInstance(inputs.pop(), s.ConfigRejected, name)
             more = copy.deepcopy(good)
             first = more["settings"]["grades"][0]
             more["settings"]["grades"].append({**first, "name": "v2", "effect": "pure"})
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -49,9 +49,9 @@
 
     def test_closes_tell_a_reset_from_an_end(self) -> None:
         for happened, reason in (
-            (s.Ended, CloseReason.PEER_ENDED),
-            (s.Closed, CloseReason.PEER_RESET),
-            (lambda stream: s.Garbled(stream, "spoilt"), CloseReason.GARBLED),
+            (s.EndOfInput, CloseReason.PEER_ENDED),
+            (s.ConnectionClosed, CloseReason.PEER_RESET),
+            (lambda stream: s.MalformedInput(stream, "spoilt"), CloseReason.GARBLED),
         ):
             self.desk = Desk()
             self.desk.do(happened(self.desk.link[1]))
