--- a/latchturn/checking/plants.py
+++ b/latchturn/checking/plants.py
@@ -13,7 +13,19 @@
 from .. import interface as i
 from .. import protocol as p
 from ..brain import Controller
-from ..session import attempts, callers, calls, end_notices, exchanges, links, module, phases, reducer, timers, writing
+from ..session import (
+    attempts,
+    callers,
+    calls,
+    decision_module,
+    end_notices,
+    exchanges,
+    links,
+    phases,
+    reducer,
+    timers,
+    writing,
+)
 from ..session.inputs_and_effects import Close
 from ..session.timers import TimerKind
 
@@ -401,7 +413,7 @@
     def make(old: Body) -> Body:
         return lambda s, event: None if isinstance(event, i.CallerLeft) else old(s, event)
 
-    _change(module.Module, "decide", make)
+    _change(decision_module.DecisionModule, "decide", make)
 
 
 @_fault("calls", "final answers go to the connection that spoke last")
--- a/latchturn/checking/remains.py
+++ b/latchturn/checking/remains.py
@@ -14,7 +14,7 @@
 
 def remains(session: Session, exited: bool) -> list[str]:
     """Each thing that should not be there, in words; of a program that has ended only what it still owed."""
-    module = session.module.controller
+    module = session.decision_module.controller
     found = [f"call {k}" for k in session.calls.by_id]
     if exited:
         return []
--- a/latchturn/checking/states.py
+++ b/latchturn/checking/states.py
@@ -21,8 +21,8 @@
 from ..brain import Controller
 from ..protocol import SetUp
 from ..session.classes import Classes
+from ..session.component import Component
 from ..session.core import Core
-from ..session.part import Part
 from ..session.timers import Timers
 from .ledger import Ledger
 from .scopes import SCOPES, SETTINGS, VARIANTS, Scope
@@ -132,13 +132,13 @@
         if kind is set or kind is frozenset:
             return sorted((of(v) for v in value), key=repr)
         self.met[ident] = len(self.met)
-        if isinstance(value, Part):
+        if isinstance(value, Component):
             # A part knows all the others: what is its own is walked where the part itself is.
             own = vars(value)
             left_out = _LEFT_OUT.get(kind, ())
             return [
                 (k, of(v)) for k, v in own.items()
-                if k not in left_out and not isinstance(v, Part | Core)
+                if k not in left_out and not isinstance(v, Component | Core)
             ]  # fmt: skip
         fields = _FIELDS.get(kind)
         if fields is None:
@@ -153,9 +153,9 @@
     """16 bytes that are equal for states that count as one."""
     walk = _Walk(world.now)
     session = world.session
-    module = session.module.controller
+    module = session.decision_module.controller
     tokens = [(module.timers[k], walk.of(k)) for k in module.timers if world.token_lives(k)]
-    parts = [walk.of(part) for part in vars(session).values() if isinstance(part, Part)]
+    parts = [walk.of(part) for part in vars(session).values() if isinstance(part, Component)]
     timers = [
         (at - world.now, timer.kind.name, walk.of(timer.what))
         for at, _, timer in sorted(session.timers.heap, key=lambda t: t[:2])
--- a/latchturn/checking/world.py
+++ b/latchturn/checking/world.py
@@ -120,7 +120,7 @@
         self.ledger = Ledger(SETTINGS, self._judge)
         self.session = s.Session(SETTINGS, 1, 1024)
         self.session.core.random = Middle()
-        self.session.module.controller.random = Middle()
+        self.session.decision_module.controller.random = Middle()
         self.fars = {100 + k: Far(100 + k, k, 5000 + k) for k in range(1, scope.exchanges + 1)}
         self.peers: dict[int, Peer] = {}
         self.connecting: dict[int, tuple[int, int]] = {}  # link -> exchange, when it times out
@@ -258,7 +258,7 @@
 
     def token_lives(self, token: object) -> bool:
         """Whether a token of the module's is about a call that it still has."""
-        module = self.session.module.controller
+        module = self.session.decision_module.controller
         call = module.timers.get(token) if isinstance(token, int) else None
         return call is not None and (call == -1 or call in module.calls)
 
--- a/latchturn/session/attempts.py
+++ b/latchturn/session/attempts.py
@@ -4,15 +4,15 @@
 
 from .. import interface as i
 from ..protocol import SetUp
+from .component import Component
 from .limits import GIVE_UP_STUCK_US, MUTE_MOST, MUTE_US, SLOTS
 from .machines import ATTEMPT, AttemptMove
-from .part import Part
 from .state import Attempt, Call, Exchange, GiveUpDue
 from .timers import TimerKind
 from .trace import TraceEvent
 
 
-class Attempts(Part):
+class Attempts(Component):
     """Attempts, from the word of the module to their end. The one place where an attempt ends is `end`."""
 
     def begin(self, action: i.SendSetup) -> None:
--- a/latchturn/session/callers.py
+++ b/latchturn/session/callers.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 from ..protocol import Message, Release, ReleaseCause, ReleaseHeard, SetUp, Test, TestResult, Unusable
+from .component import Component
 from .inputs_and_effects import Close, ForwardRelease
 from .limits import (
     CALLERS_LEAST,
@@ -18,13 +19,12 @@
     OPEN_MOST,
 )
 from .machines import StreamMove, StreamState
-from .part import Part
 from .phases import Phase
 from .state import Caller
 from .trace import CloseReason, TraceEvent
 
 
-class Callers(Part):
+class Callers(Component):
     """Connections of callers."""
 
     def __init__(self) -> None:
--- a/latchturn/session/calls.py
+++ b/latchturn/session/calls.py
@@ -4,15 +4,15 @@
 
 from .. import interface as i
 from ..protocol import Answer, Release, ReleaseCause, SetUp, settings_word
+from .component import Component
 from .limits import CUT_CALLS_LOGGED, DEADLINE_MARGIN_US, FORGET_US, OVER_MOST, OVERDUE_US
 from .machines import CALL, CallMove
-from .part import Part
 from .state import Call, Caller, Exchange, Over
 from .timers import TimerKind
 from .trace import TraceEvent
 
 
-class Calls(Part):
+class Calls(Component):
     """Calls, from their set-up to their end. The one place where a call is given back is `forget`."""
 
     def __init__(self) -> None:
--- a/latchturn/session/channel.py
+++ b/latchturn/session/channel.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from .component import Component
 from .inputs_and_effects import ConnectChannel
 from .limits import (
     CHANNEL_CONNECT_MOST_US,
@@ -11,12 +12,11 @@
     CHANNEL_SILENT_MOST_US,
     CHANNEL_SILENT_US,
 )
-from .part import Part
 from .timers import TimerKind
 from .trace import TraceEvent
 
 
-class Channel(Part):
+class Channel(Component):
     """The command channel: when it is asked again, and for what.
 
     A change counts as told 6 s after discovery has it and can be reached, whatever came of earlier calls. So a
--- a/latchturn/session/classes.py
+++ b/latchturn/session/classes.py
@@ -8,13 +8,13 @@
 from .. import interface as i
 from .. import operations
 from ..protocol import SetUp, settings_word
+from .component import Component
 from .limits import NUMBERS
-from .part import Part
 
 CALLED = re.compile(r"[0-9A-Fa-f]{16}", re.ASCII)
 
 
-class Classes(Part):
+class Classes(Component):
     """The classes and tenants that count now, and for a while those that did before."""
 
     def __init__(self, settings: i.Settings) -> None:
--- a/latchturn/session/part.py
+++ b/latchturn/session/component.py
@@ -12,25 +12,25 @@
     from .channel import Channel
     from .classes import Classes
     from .core import Core
+    from .decision_module import DecisionModule
     from .end_notices import EndNotices
     from .exchanges import Exchanges
     from .housekeeping import Housekeeping
     from .links import Links
     from .liveness import Liveness
     from .missed_ends import MissedEnds
-    from .module import Module
     from .phases import Phases
     from .timers import Timers
     from .writing import Writing
 
 
-class Part:
+class Component:
     """A part of the reducer, by concern."""
 
     core: Core
     timers: Timers
     classes: Classes
-    module: Module
+    decision_module: DecisionModule
     writing: Writing
     attempts: Attempts
     calls: Calls
@@ -44,8 +44,8 @@
     phases: Phases
     housekeeping: Housekeeping
 
-    def meet(self, parts: Mapping[str, object]) -> None:
-        """Know the other parts; called once, before the first input."""
-        for name, part in parts.items():
-            if part is not self:
-                setattr(self, name, part)
+    def connect_components(self, components: Mapping[str, object]) -> None:
+        """Set an attribute for each of the other components; called once, before the first input."""
+        for name, component in components.items():
+            if component is not self:
+                setattr(self, name, component)
--- a/latchturn/session/module.py
+++ b/latchturn/session/decision_module.py
@@ -5,12 +5,12 @@
 from .. import interface as i
 from ..brain import Controller
 from ..protocol import Release, ReleaseCause
-from .part import Part
+from .component import Component
 from .timers import TimerKind
 from .trace import TraceEvent
 
 
-class Module(Part):
+class DecisionModule(Component):
     """The decision module: hears events, and its actions are carried out."""
 
     def __init__(self, settings: i.Settings, seed: int) -> None:
--- a/latchturn/session/end_notices.py
+++ b/latchturn/session/end_notices.py
@@ -9,13 +9,13 @@
 from collections import deque
 
 from ..protocol import Release
+from .component import Component
 from .limits import FORGET_US, HEARD_US, HOLD_RELEASE_US, SENT_AGAIN_MOST, STANDING_RELEASE_US
-from .part import Part
 from .state import Caller, Outgoing
 from .trace import TraceEvent
 
 
-class EndNotices(Part):
+class EndNotices(Component):
     """Sends the releases of calls that stood, again and another way where they may not have arrived."""
 
     def __init__(self) -> None:
--- a/latchturn/session/exchanges.py
+++ b/latchturn/session/exchanges.py
@@ -19,9 +19,9 @@
     TestResult,
     holds_head_of_message,
 )
+from .component import Component
 from .limits import COPY_US, EXCHANGE_RELEASE_US
 from .machines import CALL, AttemptState, CallMove
-from .part import Part
 from .state import Attempt, Call, Exchange, Link, SeenGroupState
 from .trace import CloseReason, TraceEvent
 
@@ -42,7 +42,7 @@
 }
 
 
-class Exchanges(Part):
+class Exchanges(Component):
     """The exchanges as the list has them, and what they say on their links."""
 
     def __init__(self) -> None:
--- a/latchturn/session/housekeeping.py
+++ b/latchturn/session/housekeeping.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 from .. import interface as i
+from .component import Component
 from .limits import (
     FAULTS_FORGIVEN,
     HALF_READ_US,
@@ -15,13 +16,12 @@
     STUCK_US,
     SWEEP_US,
 )
-from .part import Part
 from .state import Caller, Link, Stream
 from .timers import TimerKind
 from .trace import CloseReason
 
 
-class Housekeeping(Part):
+class Housekeeping(Component):
     """Ends what has been silent or stuck for too long, and drops what is too old."""
 
     def __init__(self) -> None:
--- a/latchturn/session/links.py
+++ b/latchturn/session/links.py
@@ -6,16 +6,16 @@
 from __future__ import annotations
 
 from .. import interface as i
+from .component import Component
 from .inputs_and_effects import Close, Connect
 from .limits import KEPT, LINK_HALF_READ_US, MOVES_MOST, RECONNECT_FIRST_US, RECONNECT_MOST_US
 from .machines import StreamMove
-from .part import Part
 from .state import Exchange, Link
 from .timers import TimerKind
 from .trace import CloseReason, TraceEvent
 
 
-class Links(Part):
+class Links(Component):
     """Links to exchanges: which are kept, how they come up and how they are lost."""
 
     def __init__(self) -> None:
--- a/latchturn/session/liveness.py
+++ b/latchturn/session/liveness.py
@@ -14,6 +14,7 @@
 import math
 
 from .. import interface as i
+from .component import Component
 from .limits import (
     DRAINED_US,
     KEPT,
@@ -24,12 +25,11 @@
     SLOTS,
     UNHEARD_LINK_US,
 )
-from .part import Part
 from .state import Call, Exchange, Link
 from .trace import CloseReason, TraceEvent
 
 
-class Liveness(Part):
+class Liveness(Component):
     """Decides when the calls that stand at an exchange are over."""
 
     # --- evidence ---
--- a/latchturn/session/missed_ends.py
+++ b/latchturn/session/missed_ends.py
@@ -9,13 +9,13 @@
 
 from __future__ import annotations
 
+from .component import Component
 from .limits import COLLECT_EVERY_US, COLLECT_SOON_US, LATE_WORD_US, OPENING_US, PREDECESSOR_US, SILENT_US
-from .part import Part
 from .state import Call, Exchange, Link
 from .trace import CloseReason
 
 
-class MissedEnds(Part):
+class MissedEnds(Component):
     """Hears of ends that were told on lost links, and ends the calls of which nothing may be heard any more."""
 
     def stranded(self, exchange: Exchange) -> list[Call]:
--- a/latchturn/session/phases.py
+++ b/latchturn/session/phases.py
@@ -8,6 +8,7 @@
 
 from .. import operations
 from ..protocol import ListUpdate
+from .component import Component
 from .inputs_and_effects import AcceptCallers, CloseIdle, Exit, HandOverCalls
 from .limits import (
     DRAIN_LAST_US,
@@ -27,7 +28,6 @@
     TERM_WAIT_MOST_US,
 )
 from .machines import PHASE, PhaseMove, PhaseState
-from .part import Part
 from .timers import TimerKind
 from .trace import CloseReason, TraceEvent
 
@@ -41,7 +41,7 @@
     ENDING = "ending"
 
 
-class Phases(Part):
+class Phases(Component):
     """The phases of the program: start, drain, end, and replacement on both sides of it."""
 
     def __init__(self) -> None:
@@ -88,7 +88,7 @@
         # Those that stand too: they have not ended. Two processes are one session controller.
         figures["outstanding"] = len(self.calls.by_id) + self.other_calls
         figures["discovered"] = len(self.exchanges.by_id)
-        figures["ejected"] = self.module.controller.avoided(self.core.now)
+        figures["ejected"] = self.decision_module.controller.avoided(self.core.now)
         return figures | {name: n for name, n in sorted(self.core.counters.items()) if name not in figures}
 
     def operate(self, command: operations.Command | None) -> bytes:
--- a/latchturn/session/reducer.py
+++ b/latchturn/session/reducer.py
@@ -19,7 +19,9 @@
 from .calls import Calls
 from .channel import Channel
 from .classes import Classes
+from .component import Component
 from .core import Core
+from .decision_module import DecisionModule
 from .end_notices import EndNotices
 from .exchanges import Exchanges
 from .housekeeping import Housekeeping
@@ -53,8 +55,6 @@
 from .links import Links
 from .liveness import Liveness
 from .missed_ends import MissedEnds
-from .module import Module
-from .part import Part
 from .phases import Phase, Phases
 from .state import Attempt, Call, Exchange, Link
 from .timers import TimerKind, Timers
@@ -62,14 +62,14 @@
 from .writing import Writing
 
 
-class Session(Part):
+class Session(Component):
     """The state of one session controller."""
 
     def __init__(self, settings: i.Settings, seed: int, sockets: int) -> None:
         self.core = Core(seed, sockets)
         self.timers = Timers()
         self.classes = Classes(settings)
-        self.module = Module(settings, seed)
+        self.decision_module = DecisionModule(settings, seed)
         self.writing = Writing()
         self.attempts = Attempts()
         self.calls = Calls()
@@ -82,10 +82,10 @@
         self.channel = Channel()
         self.phases = Phases()
         self.housekeeping = Housekeeping()
-        parts = dict(vars(self))
-        for part in parts.values():
-            if isinstance(part, Part):
-                part.meet(parts)
+        components = dict(vars(self))
+        for component in components.values():
+            if isinstance(component, Component):
+                component.connect_components(components)
         self.classes.use(settings, None)
 
     def step(self, now_us: int, happened: Input) -> list[Effect]:
@@ -208,7 +208,7 @@
             if self.core.events:
                 event = self.core.events.popleft()
                 try:
-                    self.module.decide(event)
+                    self.decision_module.decide(event)
                 except Exception:  # noqa: BLE001
                     self._met_fault(getattr(event, "call", 0))
             else:
--- a/latchturn/session/timers.py
+++ b/latchturn/session/timers.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
-from .part import Part
+from .component import Component
 
 
 @dataclass(slots=True, eq=False)
@@ -32,7 +32,7 @@
     CLOSE = auto()  # idle connections are to be closed as the program ends
 
 
-class Timers(Part):
+class Timers(Component):
     """The timers: the one heap, and the one place where a timer is set and withdrawn."""
 
     def __init__(self) -> None:
--- a/latchturn/session/writing.py
+++ b/latchturn/session/writing.py
@@ -4,15 +4,15 @@
 
 from .. import interface as i
 from ..protocol import Message, Release, ReleaseCause, ReleaseHeard
+from .component import Component
 from .inputs_and_effects import Close, Write
 from .limits import MAX_OUTBOX, RESEND_US, STANDING_RELEASE_US, WRITE_BATCH
 from .machines import ATTEMPT, AttemptMove, StreamMove
-from .part import Part
 from .state import Attempt, Caller, GiveUpDue, Link, Outgoing, Stream
 from .trace import CloseReason, TraceEvent
 
 
-class Writing(Part):
+class Writing(Component):
     """Writing: what waits for each connection, what leaves now, and what is through."""
 
     def __init__(self) -> None:
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -184,7 +184,7 @@
 
     def test_a_fault_fails_its_call_alone(self) -> None:
         self.desk.hear(1, set_up(4))
-        controller = self.desk.session.module.controller
+        controller = self.desk.session.decision_module.controller
         handle, controller.handle = controller.handle, lambda *_: 1 / 0  # type: ignore[assignment]
         written = self.desk.hear(1, set_up(5))
         controller.handle = handle  # type: ignore[method-assign]
@@ -193,12 +193,12 @@
         self.assertGreater(self.desk.session.counters["errors"], 0)
 
     def test_time_unread_comes_off_the_wait(self) -> None:
-        self.desk.session.module.controller.handle = lambda *_: []  # type: ignore[method-assign]
+        self.desk.session.decision_module.controller.handle = lambda *_: []  # type: ignore[method-assign]
         self.desk.do(s.MessageReceived(1, set_up(5, wait_ms=1000), 300_000))
         self.assertEqual(sent(self.desk.pass_time(700_000), p.Release), [1])
 
     def test_a_call_that_the_module_forgets_fails_at_its_deadline(self) -> None:
-        self.desk.session.module.controller.handle = lambda *_: []  # type: ignore[method-assign]
+        self.desk.session.decision_module.controller.handle = lambda *_: []  # type: ignore[method-assign]
         self.desk.hear(1, set_up(5, wait_ms=1000))
         self.assertEqual(sent(self.desk.pass_time(SECOND), p.Release), [1])
 
@@ -441,7 +441,7 @@
             self.assertEqual(sent(desk.hear(1, set_up(5 + k)), p.SetUp), [desk.connects[-2].stream])
             self.assertEqual(sent(desk.hear(desk.connects[-2].stream, p.Answer(5 + k, b"y")), p.Answer), [1])
         self.assertEqual(len(desk.session.exchanges.by_id), 2)
-        self.assertEqual(len(desk.session.module.controller.exchanges), 2)
+        self.assertEqual(len(desk.session.decision_module.controller.exchanges), 2)
         self.assertEqual(len(desk.session.links.by_stream), 2)
         self.assertEqual(len(desk.session.calls.by_id), 1)
 
@@ -452,7 +452,7 @@
         desk.do(s.ListUpdateReceived(p.ListUpdate(2, i.ListKind.CHANGES, (moved,))))
         self.assertIn(desk.link[1], desk.closed)
         self.assertEqual(list(desk.session.exchanges.by_id), [100, 300])
-        self.assertEqual(list(desk.session.module.controller.exchanges), [100, 300])
+        self.assertEqual(list(desk.session.decision_module.controller.exchanges), [100, 300])
 
 
 class SpoiltLinks(unittest.TestCase):
@@ -713,13 +713,13 @@
         written = desk.hear(1, set_up(6, to=2, wait_ms=9000))
         self.assertEqual(sorted(m.call for stream, m in written if stream == 1), [5, 6, 13])
         self.assertEqual(desk.session.counters["errors"], 0)
-        self.assertNotIn(6, desk.session.module.controller.calls)
+        self.assertNotIn(6, desk.session.decision_module.controller.calls)
 
     def test_a_clock_set_back_does_not_reach_the_module(self) -> None:
         desk = Desk()
         times: list[int] = []
-        handle = desk.session.module.controller.handle
-        desk.session.module.controller.handle = lambda now, event: times.append(now) or handle(now, event)  # type: ignore
+        handle = desk.session.decision_module.controller.handle
+        desk.session.decision_module.controller.handle = lambda now, event: times.append(now) or handle(now, event)  # type: ignore
         for back in (0, 5 * SECOND):
             desk.now -= back
             desk.hear(1, set_up(5 + back))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -63,7 +63,7 @@
         desk.hear(1, set_up(1))
         self.use(desk, NEXT, PLAIN)
         desk.hear(1, set_up(2))
-        module = desk.session.module.controller.calls
+        module = desk.session.decision_module.controller.calls
         self.assertEqual([module[1].cls.name, module[2].cls.name], ["premium_quote", PLAIN.name])
         desk.hear(desk.link[1], p.Answer(1, b"yes"))
         self.assertEqual(desk.figure("succeeded.premium_quote"), 1)
