--- a/bench/reducer.py
+++ b/bench/reducer.py
@@ -76,7 +76,9 @@
                     queue.append(s.Connected(effect.stream))
                     queue.append(s.Heard(effect.stream, p.GroupState(0, {"spare": 40, "total": 40})))
 
-    listed = tuple(p.Listed(i.ListEntry(100 + k, k, i.ListState.READY, 0), ("127.0.0.1", 5000 + k)) for k in range(7))
+    listed = tuple(
+        p.ExchangeRecord(i.ListEntry(100 + k, k, i.ListState.READY, 0), ("127.0.0.1", 5000 + k)) for k in range(7)
+    )
     feed(s.Started((p.ListUpdate(1, i.ListKind.FULL, listed),), 1, ("127.0.0.1", 9)), s.Listening())
     feed(*(s.Accepted(k) for k in range(1, 9)))
     for call in range(1, CALLS + 1):
@@ -101,7 +103,7 @@
             if draw.random() < 0.8:
                 feed(s.Heard(link, p.Answer(message.call, b"yes")))
                 feed(s.Heard(link, p.Release(message.call, p.ReleaseCause.NORMAL)))
-                feed(s.Heard(caller, p.ReleaseHeard(message.call)))
+                feed(s.Heard(caller, p.ReleaseConfirmed(message.call)))
             else:
                 feed(s.Heard(link, p.Release(message.call, p.ReleaseCause.NO_CIRCUIT, "turned_back")))
     assert core.counters["attempts_answered"] > CALLS // 2, core.counters
--- a/latchturn/checking/ledger.py
+++ b/latchturn/checking/ledger.py
@@ -267,7 +267,7 @@
         if update.kind is None or update.number <= self.cursor:
             return
         self.cursor = update.number
-        for listed in update.listed:
+        for listed in update.records:
             entry = listed.entry
             for ident, other in self.exchanges.items():
                 fresh = entry.exchange not in self.exchanges
@@ -282,7 +282,7 @@
                 if entry.state is i.ListState.GONE:
                     self._goes(entry.exchange)
         if update.kind is i.ListKind.FULL:
-            named = {listed.entry.exchange for listed in update.listed}
+            named = {listed.entry.exchange for listed in update.records}
             for ident in self.exchanges:
                 if ident not in named:
                     self._goes(ident)
--- a/latchturn/checking/plants.py
+++ b/latchturn/checking/plants.py
@@ -128,7 +128,7 @@
 def _drain_passed_over() -> None:
     def make(old: Body) -> Body:
         def told(self: Any, update: Any) -> Any:
-            ready = [k for k in update.listed if k.entry.state is i.ListState.READY]
+            ready = [k for k in update.records if k.entry.state is i.ListState.READY]
             return old(self, p.ListUpdate(update.number, update.kind, tuple(ready)))
 
         return told
@@ -421,7 +421,7 @@
 def _drain_taken_for_ready() -> None:
     def make(old: Body) -> Body:
         def told(self: Any, update: Any) -> Any:
-            for listed in update.listed:
+            for listed in update.records:
                 if listed.entry.state is i.ListState.DRAINING:
                     listed.entry.state = i.ListState.READY
             return old(self, update)
--- a/latchturn/checking/properties.py
+++ b/latchturn/checking/properties.py
@@ -116,7 +116,7 @@
         return None
 
 
-class Listed(Property):
+class ExchangeRecord(Property):
     name = "listed"
     law = "Links are opened and set-ups sent to listed exchanges only, at the address that the list gives."
 
@@ -276,6 +276,6 @@
 
 NOTHING_LEFT = NothingLeft()
 PROPERTIES: tuple[Property, ...] = (
-    OneAnswer(), InTime(), NoStrangers(), OneOut(), AtMost(), Pause(), Drained(), Listed(), Unchanged(),
+    OneAnswer(), InTime(), NoStrangers(), OneOut(), AtMost(), Pause(), Drained(), ExchangeRecord(), Unchanged(),
     Served(), EndTold(), EndPassed(), GiveUpTold(), AtOnce(), NotCutOff(), EndsWell(), NoFault(), NOTHING_LEFT,
 )  # fmt: skip
--- a/latchturn/checking/traces.py
+++ b/latchturn/checking/traces.py
@@ -121,7 +121,7 @@
     if isinstance(what, s.Closed | s.Connected | s.ConnectFailed | s.Ended | s.Accepted):
         return [(_stream(world, what.stream), type(what).__name__.lower())]
     if isinstance(what, s.ListTold):
-        told = ", ".join(f"{k.entry.exchange} {k.entry.state.name.lower()}" for k in what.update.listed)
+        told = ", ".join(f"{k.entry.exchange} {k.entry.state.name.lower()}" for k in what.update.records)
         return [("list", told)]
     if isinstance(what, s.Terminate):
         return [("operators", "SIGTERM")]
@@ -137,7 +137,7 @@
 def _message(message: p.Message) -> str:
     if isinstance(message, p.Release):
         cause = p.ReleaseCause(message.cause).name.lower().replace("_", " ")
-        stay = f", come back in {message.stay_away_ms} ms" if message.stay_away_ms else ""
+        stay = f", come back in {message.retry_after_ms} ms" if message.retry_after_ms else ""
         return f"release of call {message.call} ({cause}{stay})"
     if isinstance(message, p.SetUp):
         return f"set-up of call {message.call}, waits {message.wait_ms} ms"
--- a/latchturn/checking/world.py
+++ b/latchturn/checking/world.py
@@ -138,7 +138,7 @@
         self.taking = False
         self.story: list[tuple[int, object]] | None = None  # what happened, where somebody reads it
         listed = [self._listed(far) for far in self.fars.values()]
-        own = p.Listed(i.ListEntry(100, 0, i.ListState.READY, 0), ("127.0.0.1", 5000))
+        own = p.ExchangeRecord(i.ListEntry(100, 0, i.ListState.READY, 0), ("127.0.0.1", 5000))
         known = p.ListUpdate(1, i.ListKind.FULL, (own, *listed))
         self._feed(s.Started((known,), 1, CHANNEL, scope.replaces))
         self._feed(s.Listening())
@@ -489,8 +489,8 @@
 
     # --- exchanges ---
 
-    def _listed(self, far: Far, state: i.ListState = i.ListState.READY, started: int = 0) -> p.Listed:
-        return p.Listed(i.ListEntry(far.ident, far.number, state, started), ("127.0.0.1", far.port))
+    def _listed(self, far: Far, state: i.ListState = i.ListState.READY, started: int = 0) -> p.ExchangeRecord:
+        return p.ExchangeRecord(i.ListEntry(far.ident, far.number, state, started), ("127.0.0.1", far.port))
 
     def _answer(self, link: int, ident: int) -> p.Answer:
         far = self.fars[self.peers[link].far]
@@ -609,7 +609,7 @@
 
     # --- the list ---
 
-    def _tell(self, *listed: p.Listed) -> None:
+    def _tell(self, *listed: p.ExchangeRecord) -> None:
         self.events += 1
         self.last = p.ListUpdate(self.events, i.ListKind.CHANGES, listed)
         self._feed(s.ListTold(self.last))
--- a/latchturn/protocol.py
+++ b/latchturn/protocol.py
@@ -49,10 +49,10 @@
     PROGRESS = 6
     ANSWER = 9
     RELEASE = 12
-    RELEASE_HEARD = 16
+    RELEASE_CONFIRMED = 16
     GROUP_STATE = 43
-    TEST = 52
-    TEST_RESULT = 53
+    HEALTH_CHECK = 52
+    HEALTH_CHECK_RESULT = 53
 
 
 class Code(IntEnum):
@@ -63,7 +63,7 @@
     TENANT = 135
     CALLED = 141
     FIGURES = 144
-    STAY_AWAY_MS = 147
+    RETRY_AFTER_MS = 147
     NOTE = 150
     REPORT = 156
     CAUSE = 171
@@ -97,7 +97,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Unusable:
+class InvalidSetUp:
     """A whole message that says set-up, but not what: a parameter is missing or cannot be what it says."""
 
     call: int
@@ -123,22 +123,22 @@
     call: int
     cause: int
     note: str = ""
-    stay_away_ms: int = 0
+    retry_after_ms: int = 0
     report: Mapping[str, float] | None = None
 
 
 @dataclass(slots=True, frozen=True)
-class ReleaseHeard:
+class ReleaseConfirmed:
     call: int
 
 
 @dataclass(slots=True, frozen=True)
-class Test:
+class HealthCheck:
     call: int
 
 
 @dataclass(slots=True, frozen=True)
-class TestResult:
+class HealthCheckResult:
     call: int
     passed: bool
 
@@ -150,7 +150,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Unknown:
+class UnknownMessage:
     """A message of a type that this program does not know; it is passed over."""
 
     call: int
@@ -158,7 +158,8 @@
 
 
 Message = (
-    SetUp | Unusable | Progress | Answer | Release | ReleaseHeard | Test | TestResult | GroupState | Unknown
+    SetUp | InvalidSetUp | Progress | Answer | Release | ReleaseConfirmed | HealthCheck | HealthCheckResult
+    | GroupState | UnknownMessage
 )  # fmt: skip
 
 
@@ -187,20 +188,20 @@
         parameters = [(Code.CAUSE, bytes([message.cause]))]
         if message.note:
             parameters.append((Code.NOTE, message.note.encode()))
-        if message.stay_away_ms:
-            parameters.append((Code.STAY_AWAY_MS, b"%d" % message.stay_away_ms))
+        if message.retry_after_ms:
+            parameters.append((Code.RETRY_AFTER_MS, b"%d" % message.retry_after_ms))
         if message.report is not None:
             parameters.append((Code.REPORT, _join(message.report)))
     elif isinstance(message, GroupState):
         kind, parameters = Type.GROUP_STATE, [(Code.REPORT, _join(message.report))]
-    elif isinstance(message, Test):
-        kind, parameters = Type.TEST, [(Code.CAUSE, b"\0")]
-    elif isinstance(message, TestResult):
-        kind, parameters = Type.TEST_RESULT, [(Code.CAUSE, bytes([message.passed]))]
+    elif isinstance(message, HealthCheck):
+        kind, parameters = Type.HEALTH_CHECK, [(Code.CAUSE, b"\0")]
+    elif isinstance(message, HealthCheckResult):
+        kind, parameters = Type.HEALTH_CHECK_RESULT, [(Code.CAUSE, bytes([message.passed]))]
     elif isinstance(message, Progress):
         kind = Type.PROGRESS
-    elif isinstance(message, ReleaseHeard):
-        kind = Type.RELEASE_HEARD
+    elif isinstance(message, ReleaseConfirmed):
+        kind = Type.RELEASE_CONFIRMED
     else:
         raise ValueError(f"{message} is not sent")
     body = b"".join(PARAMETER.pack(code, len(value)) + value for code, value in parameters)
@@ -211,7 +212,7 @@
 
 
 # What an exchange sends after an answer, by the type and the call behind the length of a message.
-FOLLOWING = (Type.ANSWER, Type.RELEASE, Type.PROGRESS, Type.RELEASE_HEARD)
+FOLLOWING = (Type.ANSWER, Type.RELEASE, Type.PROGRESS, Type.RELEASE_CONFIRMED)
 GROUP_STATE_HEAD = bytes([Type.GROUP_STATE]) + bytes(8)
 
 
@@ -302,24 +303,24 @@
                 _text(values, Code.TENANT) if Code.TENANT in values else "",
             )
         except ProtocolError as error:  # its borders are whole, so what follows it can be read
-            return Unusable(call, str(error))
+            return InvalidSetUp(call, str(error))
     if kind == Type.PROGRESS:
         return Progress(call)
     if kind == Type.ANSWER:
         return Answer(call, values.get(Code.DESCRIPTION, b""), _report(values))
     if kind == Type.RELEASE:
         note = _text(values, Code.NOTE) if Code.NOTE in values else ""
-        stay = _number(values, Code.STAY_AWAY_MS) if Code.STAY_AWAY_MS in values else 0
+        stay = _number(values, Code.RETRY_AFTER_MS) if Code.RETRY_AFTER_MS in values else 0
         return Release(call, _cause(values), note, stay, _report(values))
-    if kind == Type.RELEASE_HEARD:
-        return ReleaseHeard(call)
-    if kind == Type.TEST:
-        return Test(call)
-    if kind == Type.TEST_RESULT:
-        return TestResult(call, _cause(values) == 1)
+    if kind == Type.RELEASE_CONFIRMED:
+        return ReleaseConfirmed(call)
+    if kind == Type.HEALTH_CHECK:
+        return HealthCheck(call)
+    if kind == Type.HEALTH_CHECK_RESULT:
+        return HealthCheckResult(call, _cause(values) == 1)
     if kind == Type.GROUP_STATE:
         return GroupState(call, _figures(values, Code.REPORT))
-    return Unknown(call, kind)
+    return UnknownMessage(call, kind)
 
 
 def _text(values: Mapping[int, bytes], code: int) -> str:
@@ -385,7 +386,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Listed:
+class ExchangeRecord:
     """One exchange as the command channel lists it, with the address at which it listens."""
 
     entry: ListEntry
@@ -398,7 +399,7 @@
 
     number: int
     kind: ListKind | None
-    listed: tuple[Listed, ...] = ()
+    records: tuple[ExchangeRecord, ...] = ()
 
 
 def frame_decoder() -> Decoder[ListUpdate]:
@@ -425,7 +426,7 @@
         if state not in STATES:
             raise ProtocolError(f"exchange {ident} in unknown state {state}")
         entry = ListEntry(ident, cell, STATES[state], started_ms * 1000)
-        listed.append(Listed(entry, (".".join(map(str, address)), port)))
+        listed.append(ExchangeRecord(entry, (".".join(map(str, address)), port)))
     return ListUpdate(number, ListKind.FULL if kind == 1 else ListKind.CHANGES, tuple(listed))
 
 
@@ -503,7 +504,7 @@
             STATUSES[endpoint["status"]],
             int(endpoint["since_ms"]) * 1000,
         )
-        listed.append(Listed(entry, parse_address(endpoint["address"])))
+        listed.append(ExchangeRecord(entry, parse_address(endpoint["address"])))
     kind = ListKind.FULL if nodes["snapshot"] else ListKind.CHANGES
     return ListUpdate(int(command["cursor"]), kind, tuple(listed))
 
--- a/latchturn/session/callers.py
+++ b/latchturn/session/callers.py
@@ -5,7 +5,16 @@
 
 from __future__ import annotations
 
-from ..protocol import Message, Release, ReleaseCause, ReleaseHeard, SetUp, Test, TestResult, Unusable
+from ..protocol import (
+    HealthCheck,
+    HealthCheckResult,
+    InvalidSetUp,
+    Message,
+    Release,
+    ReleaseCause,
+    ReleaseConfirmed,
+    SetUp,
+)
 from .limits import (
     CALLERS_LEAST,
     CALLS_MOST,
@@ -31,7 +40,7 @@
         self.by_stream: dict[int, Caller] = {}
         self.without_calls: dict[int, Caller] = {}  # those that have set up no call, as they last did anything
 
-    def asked(self, caller: Caller, message: SetUp | Unusable, waited_us: int) -> None:
+    def asked(self, caller: Caller, message: SetUp | InvalidSetUp, waited_us: int) -> None:
         """A set-up from a caller."""
         self.core.counters["set_ups"] += 1
         known = self.calls.by_id.get(message.call)
@@ -47,8 +56,8 @@
             else:
                 self.shut(caller, f"id {message.call:016x} is another caller's")
             return
-        reason = message.reason if isinstance(message, Unusable) else self.classes.unusable(message)
-        if reason or isinstance(message, Unusable):
+        reason = message.reason if isinstance(message, InvalidSetUp) else self.classes.unusable(message)
+        if reason or isinstance(message, InvalidSetUp):
             self.core.counters["set_ups_unusable"] += 1
             self.core.note(TraceEvent.CALL_FAILED, call=message.call, stream=caller.ident, reason=reason)
             self.calls.remember_answered(message.call)
@@ -63,13 +72,13 @@
             self.classes.count("declined", message.class_name)
             self.calls.remember_answered(message.call)
             stay_ms = self.classes.settings.max_stay_away_us // 1000
-            self.writing.queue(caller, Release(message.call, ReleaseCause.CONGESTION, stay_away_ms=stay_ms))
+            self.writing.queue(caller, Release(message.call, ReleaseCause.CONGESTION, retry_after_ms=stay_ms))
         elif self.core.now >= self.phases.refuse_us:
             # Guards the drain's end against a connection that is never idle.
             self.core.note(TraceEvent.CALL_REFUSED, call=message.call, stream=caller.ident, reason="draining")
             self.calls.remember_answered(message.call)
             self.classes.count("declined", message.class_name)
-            self.writing.queue(caller, Release(message.call, ReleaseCause.CONGESTION, stay_away_ms=DRAIN_AWAY_MS))
+            self.writing.queue(caller, Release(message.call, ReleaseCause.CONGESTION, retry_after_ms=DRAIN_AWAY_MS))
         else:
             self.calls.offer(caller, message, waited_us)
 
@@ -146,7 +155,7 @@
             return
         self.active(caller)
         caller.half_us = caller.half_us and self.core.now
-        if isinstance(message, SetUp | Unusable):
+        if isinstance(message, SetUp | InvalidSetUp):
             self.asked(caller, message, waited_us)
             if caller.trust:
                 self.end_notices.send_held(caller)
@@ -155,21 +164,21 @@
             if call is None:
                 # It may be that of a call which stood before this program was started anew.
                 self.core.counters["late_messages"] += 1
-                self.writing.queue(caller, ReleaseHeard(message.call))
+                self.writing.queue(caller, ReleaseConfirmed(message.call))
                 if message.call not in self.calls.over:
                     if self.phases.other_calls:
                         self.core.effects.append(PassOn(message.call, message.cause))
                     self.fault(caller, "releases of unknown calls")
             else:
                 if call.stands_at is not None:
-                    self.writing.queue(caller, ReleaseHeard(call.ident))
+                    self.writing.queue(caller, ReleaseConfirmed(call.ident))
                 self.calls.told_over(call, message.cause)
-        elif isinstance(message, ReleaseHeard) and caller.unconfirmed.pop(message.call, None) is not None:
+        elif isinstance(message, ReleaseConfirmed) and caller.unconfirmed.pop(message.call, None) is not None:
             self.core.counters["releases_heard"] += 1
-        elif isinstance(message, Test):
+        elif isinstance(message, HealthCheck):
             # The front asks here whether to send more. Who ends may have a successor at the address.
             ready = self.phases.phase in (Phase.SERVING, Phase.ENDING)
-            self.writing.queue(caller, TestResult(message.call, ready))
+            self.writing.queue(caller, HealthCheckResult(message.call, ready))
             self.fault(caller, "tests")
         else:
             self.core.counters["messages_passed_over"] += 1
--- a/latchturn/session/exchanges.py
+++ b/latchturn/session/exchanges.py
@@ -9,14 +9,14 @@
 from ..protocol import (
     Answer,
     GroupState,
+    HealthCheck,
+    HealthCheckResult,
     ListUpdate,
     Message,
     Progress,
     Release,
     ReleaseCause,
-    ReleaseHeard,
-    Test,
-    TestResult,
+    ReleaseConfirmed,
     holds_head_of_message,
 )
 from .limits import COPY_US, EXCHANGE_RELEASE_US
@@ -53,9 +53,9 @@
         if update.kind is None or update.number <= self.channel.cursor:
             return
         self.channel.cursor = max(self.channel.cursor, update.number)
-        named = {listed.entry.exchange for listed in update.listed}
+        named = {listed.entry.exchange for listed in update.records}
         told: list[i.ListEntry] = []  # to the module
-        for listed in update.listed:
+        for listed in update.records:
             entry = listed.entry
             known = self.by_id.get(entry.exchange)
             if known is None:
@@ -149,10 +149,10 @@
                 self.tell_report(exchange, message.report)
                 if not is_first_word:
                     self.links.expect_copies(exchange, link)
-        elif isinstance(message, ReleaseHeard):
+        elif isinstance(message, ReleaseConfirmed):
             link.unconfirmed.pop(message.call, None)
-        elif isinstance(message, Test):
-            self.writing.queue(link, TestResult(message.call, True))
+        elif isinstance(message, HealthCheck):
+            self.writing.queue(link, HealthCheckResult(message.call, True))
         elif not isinstance(message, Progress):
             # No exchange sends it: a message came spoilt, and what is behind it is lost.
             self.core.counters["garbled"] += 1
@@ -238,7 +238,7 @@
             over = release.cause == ReleaseCause.NORMAL
             self.calls.end_standing(call, i.Outcome.RELEASED if over else i.Outcome.CUT, report)
             self.end_notices.send(call.caller, Release(call.ident, release.cause))
-            self.writing.queue(link, ReleaseHeard(call.ident))
+            self.writing.queue(link, ReleaseConfirmed(call.ident))
         else:
             if report is not None:
                 self.core.events.append(i.ExchangeReport(exchange.ident, True, False, 0, report))
--- a/latchturn/session/writing.py
+++ b/latchturn/session/writing.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from .. import interface as i
-from ..protocol import Message, Release, ReleaseCause, ReleaseHeard
+from ..protocol import Message, Release, ReleaseCause, ReleaseConfirmed
 from .limits import MAX_OUTBOX, RESEND_US, STANDING_RELEASE_US, WRITE_BATCH
 from .machines import ATTEMPT, AttemptMove, StreamMove
 from .part import Part
@@ -95,7 +95,9 @@
         if messages:
             if isinstance(stream, Caller):
                 stream.write_passed_on = False
-                stream.sent_anything = stream.sent_anything or not all(isinstance(m, ReleaseHeard) for m in messages)
+                stream.sent_anything = stream.sent_anything or not all(
+                    isinstance(m, ReleaseConfirmed) for m in messages
+                )
             stream.write_began_us = self.core.now
             self.core.effects.append(Write(stream.ident, tuple(messages)))
 
--- a/rig/client.py
+++ b/rig/client.py
@@ -206,7 +206,7 @@
             return p.encode(p.SetUp(call.ident, "none", 100, "00", b"x", {"dest": 1, "width": 1}, TENANT))
         if choice == 3:
             return p.encode(p.SetUp(self.ids.next(), "none", 0, "xyz", b"x", {"dest": 1, "width": 7}, "nobody"))
-        return p.encode(p.Test(self.random.getrandbits(63)))
+        return p.encode(p.HealthCheck(self.random.getrandbits(63)))
 
     # --- what the program says ---
 
@@ -261,7 +261,7 @@
             call.finals.append((now_us(), f"cause {message.cause}"))
         if mine is None:
             if self.habits.confirms:
-                self.send(p.encode(p.ReleaseHeard(message.call)))
+                self.send(p.encode(p.ReleaseConfirmed(message.call)))
         elif self.random.random() < self.habits.repeats:
             self.set_up()
 
--- a/rig/exchange.py
+++ b/rig/exchange.py
@@ -208,8 +208,8 @@
             self.hear_set_up(connection, message)
         elif isinstance(message, p.Release):
             self.hear_release(connection, message)
-        elif isinstance(message, p.Test):
-            self.send(connection, p.encode(p.TestResult(message.call, True)))
+        elif isinstance(message, p.HealthCheck):
+            self.send(connection, p.encode(p.HealthCheckResult(message.call, True)))
 
     def hear_set_up(self, connection: Connection, message: p.SetUp) -> None:
         """A set-up is refused, fails, is passed over or becomes a call."""
@@ -233,7 +233,7 @@
     def hear_release(self, connection: Connection, message: p.Release) -> None:
         """A set-up is given up, or a call that stands is ended."""
         call = self.calls.pop(message.call, None)
-        self.send(connection, p.encode(p.ReleaseHeard(message.call)))
+        self.send(connection, p.encode(p.ReleaseConfirmed(message.call)))
         if call is not None:
             call.scope.cancel()
             self.report("released", call.ident)
--- a/rig/trial.py
+++ b/rig/trial.py
@@ -105,10 +105,10 @@
         """Whether the program passes the front's test."""
         with contextlib.suppress(OSError), trio.socket.socket() as sock:
             await sock.connect(self.program.address)
-            await sock.send(p.encode(p.Test(1)))
+            await sock.send(p.encode(p.HealthCheck(1)))
             with trio.move_on_after(0.5):
                 for message in p.message_decoder().feed(await sock.recv(4096)):
-                    return isinstance(message, p.TestResult) and message.passed
+                    return isinstance(message, p.HealthCheckResult) and message.passed
         return False
 
     async def keep_traces(self) -> None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -167,9 +167,9 @@
     return p.GroupState(0, {"spare": free, "total": size, "allowed": allowed})
 
 
-def listed(number: int, port: int = 0, state: i.ListState = i.ListState.READY, started: int = 0) -> p.Listed:
+def listed(number: int, port: int = 0, state: i.ListState = i.ListState.READY, started: int = 0) -> p.ExchangeRecord:
     """An exchange in the list; without a port it has one of its own."""
-    return p.Listed(i.ListEntry(100 + number, number, state, started), ("127.0.0.1", port or 1000 + number))
+    return p.ExchangeRecord(i.ListEntry(100 + number, number, state, started), ("127.0.0.1", port or 1000 + number))
 
 
 class Desk:
--- a/tests/smoke.py
+++ b/tests/smoke.py
@@ -15,8 +15,8 @@
     deploy = tomllib.loads((Path(__file__).parent.parent / "deploy" / "balancer.toml").read_text())
     with Program(command=deploy["run"]) as program:
         caller, link = program.caller(), program.links[1]
-        caller.send(p.Test(1), set_up(2))
-        assert caller.next() == p.TestResult(1, True)
+        caller.send(p.HealthCheck(1), set_up(2))
+        assert caller.next() == p.HealthCheckResult(1, True)
         assert isinstance(link.next(), p.SetUp)
         link.send(p.Answer(2, b"description"))
         assert caller.next() == p.Answer(2, b"description")
--- a/tests/test_ends_to_callers.py
+++ b/tests/test_ends_to_callers.py
@@ -35,7 +35,7 @@
     def stick(self, stream: int, call: int) -> None:
         """The peer takes nothing in: a write on its connection does not get through."""
         self.desk.hold.add(stream)
-        self.desk.hear(stream, p.Test(call))
+        self.desk.hear(stream, p.HealthCheck(call))
 
     def test_an_end_behind_a_stuck_write_goes_another_way(self) -> None:
         self.connect(2, 6)
@@ -54,14 +54,14 @@
         self.stick(1, 99)
         self.end()
         written = self.desk.pass_time(TOLD_US // 2)
-        self.desk.hear(2, p.ReleaseHeard(5))
+        self.desk.hear(2, p.ReleaseConfirmed(5))
         written += self.desk.pass_time(TOLD_US // 2)
         self.assertEqual(written.count((2, END)), 1)
 
     def test_a_connection_that_takes_what_is_written_goes_before_one_that_is_stuck(self) -> None:
         self.connect(2, 6)
         self.connect(3, 7)
-        self.desk.hear(2, p.ReleaseHeard(98))  # the latest to have spoken
+        self.desk.hear(2, p.ReleaseConfirmed(98))  # the latest to have spoken
         for stream in (1, 2):
             self.stick(stream, 99)
         self.end()
@@ -79,7 +79,7 @@
 
     def test_an_end_that_was_confirmed_waits_for_none(self) -> None:
         self.end()
-        self.desk.hear(1, p.ReleaseHeard(5))
+        self.desk.hear(1, p.ReleaseConfirmed(5))
         self.desk.pass_time(3 * SECOND)
         self.connect(2, 6)
         self.assertNotIn((2, END), self.desk.pass_time(SECOND))
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -38,7 +38,7 @@
         desk.do(s.Succeeded(True))
         self.assertEqual((desk.taking, desk.ask(PING)), ([True, False], "ERR ending\n"))
         # The front's tests mean the address, and a successor serves there.
-        self.assertEqual(desk.hear(3, p.Test(9)), [(3, p.TestResult(9, True))])
+        self.assertEqual(desk.hear(3, p.HealthCheck(9)), [(3, p.HealthCheckResult(9, True))])
         desk.pass_time(limits.DRAIN_STEP_US)
         self.assertEqual(sorted(desk.closed), [1, 3])
         desk.hear(desk.link[1], p.Answer(5, b"yes"))
@@ -71,7 +71,7 @@
         desk.hear(2, set_up(6, to=2))
         desk.hear(desk.link[1], p.Answer(5, b"yes"))
         desk.pass_time(SECOND * 14 // 10)
-        refusal = p.Release(7, p.ReleaseCause.CONGESTION, stay_away_ms=limits.DRAIN_AWAY_MS)
+        refusal = p.Release(7, p.ReleaseCause.CONGESTION, retry_after_ms=limits.DRAIN_AWAY_MS)
         self.assertIn((2, refusal), desk.hear(2, set_up(7)))
 
     def test_it_serves_again_where_the_successor_goes_before_sigterm(self) -> None:
@@ -146,7 +146,7 @@
                 self.assertIn((1, over), desk.hear(desk.link[1], over))
             else:
                 written = desk.hear(1, over)
-                self.assertIn((1, p.ReleaseHeard(5)), written)
+                self.assertIn((1, p.ReleaseConfirmed(5)), written)
                 self.assertIn((desk.link[1], over), written)
             self.assertEqual(desk.figure("outstanding"), 1)
             self.assertNotIn("errors", desk.session.figures())
@@ -275,7 +275,7 @@
             link = program.links[1]
             self.assertEqual(link.next().call, 1)
             idle = program.caller()
-            idle.send(p.Test(5))
+            idle.send(p.HealthCheck(5))
             idle.next()
             found(program)
             old = program.replace()
@@ -304,8 +304,8 @@
             self.assertTrue(path.is_socket())
             program.replace()
             caller = program.caller()
-            caller.send(p.Test(1))
-            self.assertEqual(caller.next(), p.TestResult(1, True))
+            caller.send(p.HealthCheck(1))
+            self.assertEqual(caller.next(), p.HealthCheckResult(1, True))
 
     def test_a_process_that_is_not_found_is_served_beside(self) -> None:
         with Program() as program:
@@ -314,5 +314,5 @@
             old.send_signal(signal.SIGTERM)
             self.assertEqual(old.wait(10), 0)
             caller = program.caller()
-            caller.send(p.Test(1))
-            self.assertEqual(caller.next(), p.TestResult(1, True))
+            caller.send(p.HealthCheck(1))
+            self.assertEqual(caller.next(), p.HealthCheckResult(1, True))
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -23,9 +23,9 @@
 
 def settled(caller: Peer) -> list[p.Message]:
     """All that the program has to say to a caller until it answers a test."""
-    caller.send(p.Test(99))
+    caller.send(p.HealthCheck(99))
     heard = []
-    while not isinstance(message := caller.next(), p.TestResult):
+    while not isinstance(message := caller.next(), p.HealthCheckResult):
         heard.append(message)
     return heard
 
@@ -45,7 +45,7 @@
                 finals[message.call] = message
             self.assertEqual(finals[1], p.Answer(1, b"\xfe\x00as it is"))
             self.assertIsInstance(finals[2], p.Release)
-            self.assertEqual((finals[3].cause, finals[3].stay_away_ms), (p.ReleaseCause.CONGESTION, 2000))
+            self.assertEqual((finals[3].cause, finals[3].retry_after_ms), (p.ReleaseCause.CONGESTION, 2000))
             self.assertEqual(settled(caller), [])
 
     def test_rule_2_no_two_attempts_are_out(self) -> None:
@@ -54,8 +54,8 @@
             caller.send(set_up(1))
             first = direct.next()
             self.assertEqual((first.called, first.description), (set_up(1).called, set_up(1).description))
-            tandem.send(group_state(39), p.Test(7))
-            self.assertEqual(tandem.next(), p.TestResult(7, True))
+            tandem.send(group_state(39), p.HealthCheck(7))
+            self.assertEqual(tandem.next(), p.HealthCheckResult(7, True))
             direct.send(p.Release(1, p.ReleaseCause.NO_CIRCUIT, "no_circuit", 0, {"spare": 0, "total": 40}))
             self.assertEqual(tandem.next().call, 1)
             # It times out. A late answer to what was given up is released and not passed on.
@@ -77,8 +77,8 @@
         calls, sent = 40, set()
         with Program() as program:
             caller, link = program.caller(), program.links[1]
-            link.send(group_state(80, size=80, allowed=40), p.Test(7))
-            self.assertEqual(link.next(), p.TestResult(7, True))
+            link.send(group_state(80, size=80, allowed=40), p.HealthCheck(7))
+            self.assertEqual(link.next(), p.HealthCheckResult(7, True))
             program.tell_list(2, 1, 0, started_ms=time.time_ns() // 1_000_000)
             program.tell_list(3, 2, 2)
             self.assertIsNone(program.links[2].next())  # closed: the program has taken both words in
@@ -140,12 +140,12 @@
             program.links[1].next()
             bad.sock.sendall(b"\x00\x01" + bytes(30_000))
             for ident in (5, 6):  # the second lot comes when the first has been found bad
-                good.send(p.Test(ident))
-                self.assertEqual(good.next(), p.TestResult(ident, True))
+                good.send(p.HealthCheck(ident))
+                self.assertEqual(good.next(), p.HealthCheckResult(ident, True))
                 with contextlib.suppress(ConnectionError):
                     bad.sock.sendall(bytes(30_000))
-            good.send(p.Test(7))
-            self.assertEqual(good.next(), p.TestResult(7, True))
+            good.send(p.HealthCheck(7))
+            self.assertEqual(good.next(), p.HealthCheckResult(7, True))
             with contextlib.suppress(ConnectionError):  # closed with its input unread
                 self.assertEqual(bad.next(), p.Release(1, p.ReleaseCause.TEMPORARY_FAILURE))
                 self.assertIsNone(bad.next())
@@ -155,8 +155,8 @@
         with Program(far=1) as program:
             caller, cut = program.caller(), (program.links[1], program.seconds[1])
             for link in cut:
-                link.send(p.Test(7))
-                self.assertEqual(link.next(), p.TestResult(7, True))  # the program has taken all states in
+                link.send(p.HealthCheck(7))
+                self.assertEqual(link.next(), p.HealthCheckResult(7, True))  # the program has taken all states in
             caller.send(set_up(1))
             cut[0].next()
             cut[0].send(p.Release(1, p.ReleaseCause.RESOURCE_UNAVAILABLE))
@@ -221,8 +221,8 @@
         # From the moment at which the shell has become the interpreter, which has run no line of ours yet.
         with Program(command=deploy["run"], early=(signal.SIGHUP, signal.SIGUSR1)) as program:
             caller = program.caller()
-            caller.send(p.Test(1))
-            self.assertEqual(caller.next(), p.TestResult(1, True))
+            caller.send(p.HealthCheck(1))
+            self.assertEqual(caller.next(), p.HealthCheckResult(1, True))
 
     def test_a_sighup_of_the_start_is_held_until_it_can_be_obeyed(self) -> None:
         code = (
@@ -245,16 +245,16 @@
     def test_want_of_descriptors_is_waited_out(self) -> None:
         with Program(command=f"ulimit -n 24; exec {sys.executable} -m latchturn") as program:
             callers = [program.caller() for _ in range(60)]
-            callers[0].send(p.Test(1))
-            self.assertEqual(callers[0].next(), p.TestResult(1, True))
+            callers[0].send(p.HealthCheck(1))
+            self.assertEqual(callers[0].next(), p.HealthCheckResult(1, True))
             line = ""
             while "accepts_failed" not in line:
                 program.process.send_signal(signal.SIGUSR1)
                 line = program.log_line("counters ")
             for caller in callers[:55]:
                 caller.sock.close()
-            callers[-1].send(p.Test(2))
-            self.assertEqual(callers[-1].next(), p.TestResult(2, True))
+            callers[-1].send(p.HealthCheck(2))
+            self.assertEqual(callers[-1].next(), p.HealthCheckResult(2, True))
             for caller in callers[55:]:
                 caller.sock.close()
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -85,7 +85,7 @@
         self.assertIs(session.phase, s.Phase.STARTING)  # nothing listens
         desk.session.exchanges.by_id[102].sends_group_states = False
         self.assertEqual(desk.ask(C.PING), "ERR starting\n")
-        self.assertEqual(desk.hear(1, p.Test(9)), [(1, p.TestResult(9, False))])
+        self.assertEqual(desk.hear(1, p.HealthCheck(9)), [(1, p.HealthCheckResult(9, False))])
         desk.pass_time(limits.READY_MOST_US)
         self.assertEqual(desk.ask(C.PING), "OK serving\n")
 
@@ -102,7 +102,7 @@
         desk.hear(2, set_up(5))
         self.assertEqual(desk.ask(C.LAMEDUCK), "OK draining\n")
         self.assertEqual(desk.ask(C.PING), "ERR draining\n")
-        self.assertEqual(desk.hear(1, p.Test(9)), [(1, p.TestResult(9, False))])
+        self.assertEqual(desk.hear(1, p.HealthCheck(9)), [(1, p.HealthCheckResult(9, False))])
         desk.do(s.Accepted(4))
         desk.pass_time(limits.DRAIN_QUIET_US - 1)
         self.assertEqual(desk.closed, [])
@@ -140,7 +140,7 @@
         desk.pass_time(limits.DRAIN_REFUSE_US)
         before = desk.figure("declined.premium_quote")
         written = desk.hear(1, set_up(6))
-        refusal = p.Release(6, p.ReleaseCause.CONGESTION, stay_away_ms=limits.DRAIN_AWAY_MS)
+        refusal = p.Release(6, p.ReleaseCause.CONGESTION, retry_after_ms=limits.DRAIN_AWAY_MS)
         self.assertEqual(written, [(1, refusal)])
         self.assertEqual(desk.figure("declined.premium_quote"), before + 1)
 
@@ -159,7 +159,7 @@
         desk = self.desk
         desk.ask(C.LAMEDUCK)
         self.assertEqual(desk.ask(C.REJOIN), "OK serving\n")
-        self.assertEqual(desk.hear(1, p.Test(9)), [(1, p.TestResult(9, True))])
+        self.assertEqual(desk.hear(1, p.HealthCheck(9)), [(1, p.HealthCheckResult(9, True))])
         desk.pass_time(SECOND)
         self.assertEqual(desk.closed, [])
         desk.ask(C.LAMEDUCK)
@@ -184,8 +184,8 @@
             self.assertIsNone(busy.next())
             self.assertEqual(program.ask("REJOIN"), ["OK serving"])
             again = program.caller()
-            again.send(p.Test(2))
-            self.assertEqual(again.next(), p.TestResult(2, True))
+            again.send(p.HealthCheck(2))
+            self.assertEqual(again.next(), p.HealthCheckResult(2, True))
 
     def test_what_lies_unread_keeps_its_connection_open(self) -> None:
         ours, theirs = socket.socketpair()
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -23,10 +23,10 @@
     p.Answer(3, b"", {"spare": 12.0, "total": 40.0}),
     p.Release(4, 34, "turned_back", 250, {"spare": 0.5}),
     p.Release(5, 16),
-    p.ReleaseHeard(6),
-    p.Test(7),
-    p.TestResult(8, True),
-    p.TestResult(9, False),
+    p.ReleaseConfirmed(6),
+    p.HealthCheck(7),
+    p.HealthCheckResult(8, True),
+    p.HealthCheckResult(9, False),
     p.GroupState(0, {"spare": 1.0, "allowed": -1.0}),
 ]
 
@@ -57,7 +57,9 @@
 
     def test_what_is_unknown_is_passed_over(self) -> None:
         data = raw(200, b"") + raw(16, parameter(250, b"new")) + raw(6, b"")
-        self.assertEqual(list(p.message_decoder().feed(data)), [p.Unknown(1, 200), p.ReleaseHeard(1), p.Progress(1)])
+        self.assertEqual(
+            list(p.message_decoder().feed(data)), [p.UnknownMessage(1, 200), p.ReleaseConfirmed(1), p.Progress(1)]
+        )
 
     def test_malformed_messages_come_as_errors_behind_the_good_ones(self) -> None:
         cases = {
@@ -99,7 +101,7 @@
         for name, data in bad.items():
             with self.subTest(name):
                 first, second = p.message_decoder().feed(data + raw(6))
-                self.assertIsInstance(first, p.Unusable)
+                self.assertIsInstance(first, p.InvalidSetUp)
                 self.assertEqual(second, p.Progress(1))
         for figures in (b"dest:1", b"dest:1.0;width:1;via:-1;transit:1", b"dest:1;again:1"):
             (message,) = p.message_decoder().feed(built(p144=figures, p135=b"acme"))
@@ -128,7 +130,7 @@
 
     def test_frames(self) -> None:
         entry = i.ListEntry(0xC41F7A, 2, i.ListState.DRAINING, 5000)
-        told = p.ListUpdate(42, i.ListKind.CHANGES, (p.Listed(entry, ("127.0.1.9", 3868)),))
+        told = p.ListUpdate(42, i.ListKind.CHANGES, (p.ExchangeRecord(entry, ("127.0.1.9", 3868)),))
         data = bytes(4) + self.HEAD + self.RECORD + bytes.fromhex("00000009000000000000002a00")
         decoder, heard = p.frame_decoder(), []
         for k in range(len(data)):
@@ -170,7 +172,7 @@
     def test_all_that_is_told(self) -> None:
         config = self.read(self.CONFIG)
         entry = i.ListEntry(0xC41F7A, 2, i.ListState.READY, 7000)
-        update = p.ListUpdate(3, i.ListKind.FULL, (p.Listed(entry, ("10.1.0.9", 3868)),))
+        update = p.ListUpdate(3, i.ListKind.FULL, (p.ExchangeRecord(entry, ("10.1.0.9", 3868)),))
         self.assertEqual((config.listen, config.channel), (("10.0.0.4", 3868), ("10.2.0.1", 8500)))
         self.assertEqual((config.known, config.cursor, config.sockets), ((update,), 3, 4096))
         settings, fields = read_settings(config.settings)
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -56,7 +56,7 @@
             desk.do(s.Accepted(2))
             desk.hear(desk.link[1], p.Release(5, GIVE_UP))
             if heard:
-                desk.hear(1, p.ReleaseHeard(5))
+                desk.hear(1, p.ReleaseConfirmed(5))
             written = desk.do(s.Closed(1)) + desk.pass_time(SECOND)
             self.assertEqual(written, [] if heard else [(2, p.Release(5, GIVE_UP))])
 
@@ -71,10 +71,10 @@
             written = desk.hear(desk.link[1], p.Release(5, GIVE_UP))
             self.assertIn((1, p.Release(5, GIVE_UP)), written)
             if confirmed:
-                desk.hear(1, p.ReleaseHeard(5))
+                desk.hear(1, p.ReleaseConfirmed(5))
             written = desk.pass_time(limits.HEARD_US + limits.SWEEP_US)
             self.assertEqual(written, [] if confirmed else [(2, p.Release(5, GIVE_UP))])
-            desk.hear(2, p.ReleaseHeard(5))
+            desk.hear(2, p.ReleaseConfirmed(5))
             self.assertEqual(desk.pass_time(SECOND), [])
 
     def test_a_release_goes_to_a_caller_whose_calls_have_stood_not_to_a_stranger(self) -> None:
@@ -86,7 +86,7 @@
         desk.stand(5)
         for stranger in (3, 4):
             desk.do(s.Accepted(stranger))
-        desk.hear(3, p.Test(1))
+        desk.hear(3, p.HealthCheck(1))
         desk.hear(4, set_up(7, to=2))
         desk.do(s.Closed(1))
         written = desk.hear(self.link[1], p.Release(5, GIVE_UP))
@@ -278,7 +278,13 @@
     """An answer that stopped short, completed by the bytes of the message behind it."""
 
     def test_it_is_not_passed_on_and_its_link_is_closed(self) -> None:
-        behind = (p.Answer(6, b"v=0"), p.Release(4, GIVE_UP), group_state(7), p.ReleaseHeard(4), p.Answer(5, b"v=0"))
+        behind = (
+            p.Answer(6, b"v=0"),
+            p.Release(4, GIVE_UP),
+            group_state(7),
+            p.ReleaseConfirmed(4),
+            p.Answer(5, b"v=0"),
+        )
         for message in behind:
             desk = Desk()
             desk.stand(4)
@@ -432,7 +438,7 @@
         # On long days exchanges come and go under new ids, at addresses of those that have gone.
         desk = Desk(far=1)
         for k in range(50):
-            new = p.Listed(i.ListEntry(200 + k, 1, i.ListState.READY, 0), ("127.0.0.1", 5 + k % 3))
+            new = p.ExchangeRecord(i.ListEntry(200 + k, 1, i.ListState.READY, 0), ("127.0.0.1", 5 + k % 3))
             old = listed(1, state=i.ListState.GONE) if k == 0 else dataclasses.replace(new, entry=i.ListEntry(
                 199 + k, 1, i.ListState.GONE, 0))  # fmt: skip
             desk.do(s.ListTold(p.ListUpdate(2 + k, i.ListKind.CHANGES, (old, new))))
@@ -448,7 +454,7 @@
     def test_a_new_exchange_at_an_address_ends_the_one_that_was_there(self) -> None:
         # Else calls would reach the new one under the old id, until the word of the old one's end has come.
         desk = Desk(far=1)
-        moved = p.Listed(i.ListEntry(300, 1, i.ListState.READY, 0), listed(1).address)
+        moved = p.ExchangeRecord(i.ListEntry(300, 1, i.ListState.READY, 0), listed(1).address)
         desk.do(s.ListTold(p.ListUpdate(2, i.ListKind.CHANGES, (moved,))))
         self.assertIn(desk.link[1], desk.closed)
         self.assertEqual(list(desk.session.exchanges.by_id), [100, 300])
@@ -463,7 +469,7 @@
         self.link, self.other = self.desk.link[1], self.desk.second[1]
 
     def test_a_message_that_no_exchange_sends_closes_its_link(self) -> None:
-        self.desk.hear(self.link, p.Unknown(5, 123))
+        self.desk.hear(self.link, p.UnknownMessage(5, 123))
         self.assertEqual(self.desk.closed, [self.link])
 
     def test_a_half_read_link_gets_no_set_ups_and_is_closed(self) -> None:
@@ -509,7 +515,7 @@
         new = desk.connects[-1].stream
         desk.hold.add(new)
         desk.do(s.Connected(new))
-        desk.hear(new, p.Test(1))  # a write that does not get through
+        desk.hear(new, p.HealthCheck(1))  # a write that does not get through
         desk.hear(1, set_up(5))
         desk.do(s.Closed(new))
         again = next(c.stream for c in desk.connects if c.stream in desk.session.links.by_stream
@@ -552,12 +558,12 @@
 
     def test_silent_and_half_sent_connections_are_closed_in_time(self) -> None:
         desk = self.desk
-        desk.hear(1, p.Test(1))
+        desk.hear(1, p.HealthCheck(1))
         for stream in (2, 3, 4):
             desk.do(s.Accepted(stream))
         desk.hear(3, set_up(5))
         desk.do(s.HalfRead(1, True))
-        desk.hear(4, p.Unknown(1, 123))
+        desk.hear(4, p.UnknownMessage(1, 123))
         desk.pass_time(2_500_000)
         self.assertEqual(desk.closed, [])  # what comes in pieces may be whole by now
         desk.pass_time(400_000)
@@ -578,7 +584,7 @@
     def test_floods_are_cut_off_and_a_busy_good_caller_is_not(self) -> None:
         floods = {
             "set-ups of no use": lambda k: set_up(k, width=3), "releases": lambda k: p.Release(k, GIVE_UP),
-            "tests": p.Test, "what is no use here": lambda k: p.Progress(k), "one id": lambda _: set_up(7),
+            "tests": p.HealthCheck, "what is no use here": lambda k: p.Progress(k), "one id": lambda _: set_up(7),
         }  # fmt: skip
         for name, message in floods.items():
             with self.subTest(name):
@@ -589,7 +595,7 @@
         self.desk.hear(1, set_up(1000))
         for k in range(1, 400):
             self.desk.hear(1, p.Release(k, GIVE_UP))  # of calls that stood before a restart
-            self.desk.hear(1, p.ReleaseHeard(k)) if k % 3 == 0 else None
+            self.desk.hear(1, p.ReleaseConfirmed(k)) if k % 3 == 0 else None
             self.desk.pass_time(100_000)
         self.assertEqual(self.desk.closed, [])
 
@@ -600,14 +606,14 @@
         self.assertLessEqual(owed, limits.OPEN_MOST)
         for k in range(owed, limits.OPEN_MOST + 1):
             written = self.desk.hear(1, set_up(1000 + k, wait_ms=9000))
-        self.assertEqual([(m.cause, m.stay_away_ms) for _, m in written], [(p.ReleaseCause.CONGESTION, 2000)])
+        self.assertEqual([(m.cause, m.retry_after_ms) for _, m in written], [(p.ReleaseCause.CONGESTION, 2000)])
 
     def test_connections_on_which_calls_stood_are_the_last_to_make_room(self) -> None:
         desk = Desk(sockets=3 * limits.CALLERS_LEAST)
         desk.stand(5)
         for stream in range(2, 40):
             desk.do(s.Accepted(stream))
-            desk.hear(stream, p.Test(1))
+            desk.hear(stream, p.HealthCheck(1))
         self.assertNotIn(1, desk.closed)
 
     def test_the_budget_follows_the_limit(self) -> None:
@@ -694,7 +700,7 @@
         desk.do(s.Terminate())
         desk.pass_time(limits.TERM_QUIET_US)
         self.assertEqual((desk.closed, desk.ended), ([1], False))
-        refusal = p.Release(7, p.ReleaseCause.CONGESTION, stay_away_ms=2000)
+        refusal = p.Release(7, p.ReleaseCause.CONGESTION, retry_after_ms=2000)
         unread.clear()
         self.assertEqual(desk.hear(2, set_up(7)), [(2, refusal)])
         desk.pass_time(limits.TERM_CLOSE_STEP_US)
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -67,6 +67,6 @@
 
     def test_the_trace_is_bounded(self) -> None:
         for k in range(1, TRACE_LENGTH + 10):
-            self.desk.hear(1, p.Test(k))
+            self.desk.hear(1, p.HealthCheck(k))
             self.desk.session.core.note(TraceEvent.CALL_TAKEN, call=k)
         self.assertEqual(len(self.desk.session.trace_lines()), TRACE_LENGTH)
