--- a/latchturn/checking/world.py
+++ b/latchturn/checking/environment.py
@@ -16,7 +16,7 @@
 from .. import protocol as p
 from .. import session as s
 from ..session.timers import Timer, TimerKind
-from .ledger import Event, Ledger
+from .history import History, Observation
 from .properties import NOTHING_LEFT, PROPERTIES
 from .remains import hanging, remains
 from .scopes import SETTINGS, VARIANTS, WAIT_MS, Scope
@@ -55,18 +55,18 @@
 AFTER = {"late", "twice", "astray"}  # words that come after all is over, and are the same at any moment
 
 
-class Middle(random.Random):
+class MedianRandom(random.Random):
     """Always draws the middle, and has no state that could tell two paths apart."""
 
     def random(self) -> float:
         return 0.5
 
     def __reduce__(self) -> tuple[object, ...]:
-        return (Middle, ())
+        return (MedianRandom, ())
 
 
 @dataclass(slots=True)
-class Far:
+class SimulatedExchange:
     """One exchange as it is, whatever the list says."""
 
     ident: int
@@ -78,7 +78,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class ReceivedSetUp:
     """A set-up that has reached an exchange: what may still be said of it."""
 
     call: int
@@ -91,7 +91,7 @@
     """One connection, seen from its other end."""
 
     far: int = 0  # exchange, 0 for a caller's
-    asked: dict[int, Asked] = field(default_factory=dict)
+    asked: dict[int, ReceivedSetUp] = field(default_factory=dict)
     stalled: bool = False
     held: tuple[p.Message, ...] | None = None  # being written, not through
     seen: bool = False  # what is held has reached the peer all the same
@@ -99,7 +99,7 @@
     half_closed: bool = False
 
 
-class Broken(Exception):
+class PropertyViolation(Exception):
     """A property does not hold: its name and what is wrong."""
 
     def __init__(self, name: str, message: str) -> None:
@@ -108,7 +108,7 @@
         self.message = message
 
 
-class World:
+class Environment:
     """The reducer among its peers, at one moment of one path."""
 
     def __init__(self, scope: Scope) -> None:
@@ -117,11 +117,11 @@
         self.left = dict(scope.budgets)
         self.rare = scope.rare
         self.idle = scope.idle_moments
-        self.ledger = Ledger(SETTINGS, self._judge)
+        self.history = History(SETTINGS, self._judge)
         self.session = s.Session(SETTINGS, 1, 1024)
-        self.session.core.random = Middle()
-        self.session.decision_module.controller.random = Middle()
-        self.fars = {100 + k: Far(100 + k, k, 5000 + k) for k in range(1, scope.exchanges + 1)}
+        self.session.core.random = MedianRandom()
+        self.session.decision_module.controller.random = MedianRandom()
+        self.fars = {100 + k: SimulatedExchange(100 + k, k, 5000 + k) for k in range(1, scope.exchanges + 1)}
         self.peers: dict[int, Peer] = {}
         self.connecting: dict[int, tuple[int, int]] = {}  # link -> exchange, when it times out
         self.standing: dict[int, int] = {}  # call -> exchange, as exchanges have it
@@ -146,7 +146,7 @@
             self._accept(min(self.connecting))
         for _ in range(scope.callers if not scope.replaces else 0):
             self._call_in()
-        self.ledger.stepped()
+        self.history.stepped()
 
     @property
     def budgeted(self) -> bool:
@@ -166,7 +166,7 @@
             for link in list(self.connecting):
                 if self.connecting.get(link, (0, 0))[0] in self.fars:
                     self._answer_connect(link)
-        self.ledger.stepped()
+        self.history.stepped()
 
     def _feed(self, *inputs: s.Input) -> None:
         """Hand inputs to the reducer as the network does: what effects bring up follows at once, in order."""
@@ -175,18 +175,18 @@
             happened = queue.popleft()
             if self.story is not None:
                 self.story.append((self.now, happened))
-            self.ledger.now = self.now
-            self.ledger.heard(happened)
+            self.history.now = self.now
+            self.history.heard(happened)
             for effect in self.session.step(self.now, happened):
                 if self.story is not None:
                     self.story.append((self.now, effect))
-                self.ledger.asked(effect)
+                self.history.asked(effect)
                 self._run(effect, queue)
 
-    def _judge(self, event: Event) -> None:
-        for law in PROPERTIES:
-            if (wrong := law.breaks(self.ledger, event)) is not None:
-                raise Broken(law.name, wrong)
+    def _judge(self, event: Observation) -> None:
+        for property_ in PROPERTIES:
+            if (wrong := property_.breaks(self.history, event)) is not None:
+                raise PropertyViolation(property_.name, wrong)
 
     def _run(self, effect: s.Effect, queue: deque[s.Input]) -> None:
         match effect:
@@ -227,7 +227,7 @@
             return
         for message in messages:
             if isinstance(message, p.SetUp):
-                peer.asked[message.call] = Asked(message.call)
+                peer.asked[message.call] = ReceivedSetUp(message.call)
             elif isinstance(message, p.Release):
                 if message.call in peer.asked:
                     peer.asked[message.call].given_up = True
@@ -240,8 +240,8 @@
         """The next moment at which something is due, and whether it is the reducer's own."""
         own = min((at for at, _, t in self.session.timers.heap if self.alive(t)), default=None)
         others = [due for _, due in self.connecting.values()]
-        if (law := self.ledger.due()) is not None:
-            others.append(law)
+        if (deadline := self.history.due()) is not None:
+            others.append(deadline)
         other = min(others, default=None)
         if own is not None and (other is None or own <= other):
             return max(own, self.now), True
@@ -266,7 +266,7 @@
         self.now = moment
         if self.story is not None:
             self.story.append((moment, None))
-        self.ledger.passes(moment)
+        self.history.passes(moment)
         for link, (_, due) in list(self.connecting.items()):
             if due <= moment:
                 del self.connecting[link]
@@ -297,14 +297,14 @@
         self._pass_to((self.now + due[0]) // 2)
 
     def _spend(self) -> None:
-        if not any(call.owed for call in self.ledger.calls.values()):
+        if not any(call.owed for call in self.history.calls.values()):
             self.idle -= 1
 
     # --- what may happen next ---
 
     def choices(self) -> list[Choice]:
         """Every choice there is, in a fixed order; none if nothing more can happen in this scope."""
-        if self.ledger.exited:
+        if self.history.exited:
             return []
         found: list[Choice] = []
         left = {k for k, n in self.left.items() if n > 0}
@@ -322,7 +322,7 @@
                 found += [(kind, call) for kind in ("end", "cut") if kind in left]
         self._world_may(found, left)
         due = None if self.done else self._next_due()
-        if due is not None and (self.idle > 0 or any(c.owed for c in self.ledger.calls.values())):
+        if due is not None and (self.idle > 0 or any(c.owed for c in self.history.calls.values())):
             found.append(("tick",))
             if due[0] > self.now and due[1] and self.rare > 1 and not self.due_now:
                 found.append(("due",))
@@ -334,7 +334,7 @@
         open_ = [k for k in callers if not self.peers[k].half_closed]
         if self.calls_made < self.scope.calls:
             found += [("set_up", k) for k in open_]
-        for ident, call in self.ledger.calls.items():
+        for ident, call in self.history.calls.items():
             if call.owed and call.stream in open_ and "give_up" in left:
                 found.append(("give_up", ident))
             if call.stood and not (call.end_told or call.ended_by_caller_us) and "release" in left:
@@ -396,7 +396,7 @@
 
     def _world_may(self, found: list[Choice], left: set[str]) -> None:
         for ident, far in self.fars.items():
-            known = self.ledger.exchanges.get(ident)
+            known = self.history.exchanges.get(ident)
             told = known is not None and not known.gone
             kinds = ("ready",) if ident in self.drained else ("drain",)
             found += [(kind, ident) for kind in (*kinds, "gone", "replaced") if told and kind in left]
@@ -415,18 +415,18 @@
             found.append(("list_twice",))
         if "channel_lost" in left:
             found.append(("channel_lost",))
-        ended = bool(self.ledger.term_us)
-        if "lameduck" in left and not self.ledger.draining:
+        ended = bool(self.history.term_us)
+        if "lameduck" in left and not self.history.draining:
             found.append(("lameduck",))
-        if "rejoin" in left and self.ledger.draining:
+        if "rejoin" in left and self.history.draining:
             found.append(("rejoin",))
         if "sighup" in left:
             found += [("sighup", name) for name in VARIANTS]
         if "sigterm" in left and not ended:
             found.append(("sigterm",))
-        if "succeed" in left and not self.ledger.succeeded:
+        if "succeed" in left and not self.history.succeeded:
             found.append(("succeed",))
-        if "unsucceed" in left and self.ledger.succeeded:
+        if "unsucceed" in left and self.history.succeeded:
             found.append(("unsucceed",))
         if "inherit" in left:
             found += [("inherit", ident) for ident in self.fars]
@@ -454,16 +454,16 @@
 
     def _do_redial(self, ident: int, stream: int) -> None:
         call, self.next_call = self.next_call, self.next_call + 1
-        self._feed(s.MessageReceived(stream, self._set_up(call, int(self.ledger.calls[ident].set_up.called, 16))))
+        self._feed(s.MessageReceived(stream, self._set_up(call, int(self.history.calls[ident].set_up.called, 16))))
 
     def _do_give_up(self, ident: int) -> None:
-        self._feed(s.MessageReceived(self.ledger.calls[ident].stream, p.Release(ident, p.ReleaseCause.NORMAL)))
+        self._feed(s.MessageReceived(self.history.calls[ident].stream, p.Release(ident, p.ReleaseCause.NORMAL)))
 
     def _do_release(self, ident: int, stream: int) -> None:
         self._feed(s.MessageReceived(stream, p.Release(ident, p.ReleaseCause.NORMAL)))
 
     def _do_same_id(self, ident: int, stream: int) -> None:
-        self._feed(s.MessageReceived(stream, self.ledger.calls[ident].set_up))
+        self._feed(s.MessageReceived(stream, self.history.calls[ident].set_up))
 
     _do_other_id = _do_same_id
 
@@ -489,7 +489,9 @@
 
     # --- exchanges ---
 
-    def _listed(self, far: Far, state: i.ListState = i.ListState.READY, started: int = 0) -> p.ExchangeRecord:
+    def _listed(
+        self, far: SimulatedExchange, state: i.ListState = i.ListState.READY, started: int = 0
+    ) -> p.ExchangeRecord:
         return p.ExchangeRecord(i.ListEntry(far.ident, far.number, state, started), ("127.0.0.1", far.port))
 
     def _answer(self, link: int, ident: int) -> p.Answer:
@@ -586,7 +588,7 @@
 
     def _do_stall(self, stream: int) -> None:
         self.peers[stream].stalled = True
-        self.ledger.stalled.add(stream)
+        self.history.stalled.add(stream)
 
     _do_stall_caller = _do_stall
 
@@ -594,13 +596,13 @@
         peer = self.peers[stream]
         assert peer.held is not None
         peer.seen = True
-        self.ledger.arrived(stream)
+        self.history.arrived(stream)
         self._reach(stream, peer, peer.held)
 
     def _do_through(self, stream: int) -> None:
         peer = self.peers[stream]
         peer.stalled = False
-        self.ledger.stalled.discard(stream)
+        self.history.stalled.discard(stream)
         held, peer.held = peer.held, None
         if held is not None:
             if not peer.seen:
@@ -630,7 +632,7 @@
         """A new exchange at the address of one that has died unseen by the list."""
         old = self.fars.pop(ident)
         self.standing = {call: far for call, far in self.standing.items() if far != ident}
-        new = self.fars[self.next_far] = Far(self.next_far, old.number, old.port)
+        new = self.fars[self.next_far] = SimulatedExchange(self.next_far, old.number, old.port)
         self.next_far += 1
         for link in [k for k, peer in self.peers.items() if peer.far == ident]:
             if link in self.peers:
@@ -650,11 +652,11 @@
     # --- operators ---
 
     def _do_lameduck(self) -> None:
-        self.ledger.draining = True
+        self.history.draining = True
         self._feed(s.AdminRequest(1, o.Command.LAMEDUCK))
 
     def _do_rejoin(self) -> None:
-        self.ledger.draining = False
+        self.history.draining = False
         self._feed(s.AdminRequest(1, o.Command.REJOIN))
 
     def _do_sighup(self, name: str) -> None:
@@ -684,7 +686,7 @@
     @property
     def over(self) -> bool:
         """Whether every call that was made is over at its caller and at its exchange."""
-        calls = self.ledger.calls.values()
+        calls = self.history.calls.values()
         return not self.standing and not any(c.owed or (c.stood and not c.over) for c in calls)
 
     @property
@@ -699,7 +701,7 @@
         """Let everything come to its end: standing calls end, writes are through, time passes. Broken if then
         anything is left."""
         if self.over and (late := hanging(self.session)):
-            raise Broken(NOTHING_LEFT.name, NOTHING_LEFT.left(late) or "")
+            raise PropertyViolation(NOTHING_LEFT.name, NOTHING_LEFT.left(late) or "")
         for stream in [k for k, peer in self.peers.items() if peer.stalled]:
             if stream in self.peers:
                 self._do_through(stream)
@@ -707,10 +709,10 @@
             if any(peer.far == self.standing[call] for peer in self.peers.values()):
                 self._do_end(call)
         for ident, at in self.anew.items():
-            if not self.ledger.exchanges[ident].gone and ident not in self.drained:
+            if not self.history.exchanges[ident].gone and ident not in self.drained:
                 self._tell(self._listed(self.fars[ident], started=at))
         for _ in range(60):
-            if self.ledger.exited or (due := self._next_due()) is None:
+            if self.history.exited or (due := self._next_due()) is None:
                 break
             for link in list(self.connecting):
                 if self.connecting.get(link, (0, 0))[0] in self.fars:
@@ -721,12 +723,12 @@
             if self.over and self.now > START + 3_000_000:
                 break
         for _ in range(END_STEPS):
-            if self.ledger.exited:
+            if self.history.exited:
                 break
             for link in list(self.connecting):
                 if self.connecting.get(link, (0, 0))[0] in self.fars:
                     self._answer_connect(link)
             self._pass_to(self.now + 1_500_000)
             self._feed(s.Tick())
-        if (wrong := NOTHING_LEFT.left(remains(self.session, self.ledger.exited))) is not None:
-            raise Broken(NOTHING_LEFT.name, wrong)
+        if (wrong := NOTHING_LEFT.left(remains(self.session, self.history.exited))) is not None:
+            raise PropertyViolation(NOTHING_LEFT.name, wrong)
--- a/latchturn/checking/explorer.py
+++ b/latchturn/checking/explorer.py
@@ -17,11 +17,11 @@
 from itertools import islice
 from multiprocessing.connection import Connection, wait
 
+from .environment import Choice, Environment, PropertyViolation
 from .pairs import Pairs, record
 from .plants import plant
 from .scopes import SCOPES
 from .states import fingerprint, load, save
-from .world import Broken, Choice, World
 
 PIECE = 24  # states
 
@@ -63,27 +63,27 @@
     gc.collect()  # once a piece: worlds are full of circles, and looking for them on each step takes most time
     with record(found.pairs):
         for k, snapshot in enumerate(piece):
-            world = load(snapshot)
-            choices = world.choices()
+            environment = load(snapshot)
+            choices = environment.choices()
             if not choices:
                 found.ends += 1
                 try:
-                    world.close_out()
-                except Broken as broken:
+                    environment.close_out()
+                except PropertyViolation as broken:
                     found.broken = found.broken or (k, None, broken.name, broken.message)
                     return found
             for choice in choices:
                 found.transitions += 1
-                world = load(snapshot)
+                environment = load(snapshot)
                 try:
-                    world.do(choice)
-                except Broken as broken:
+                    environment.do(choice)
+                except PropertyViolation as broken:
                     found.broken = (k, choice, broken.name, broken.message)
                     return found
-                mark = fingerprint(world)
+                mark = fingerprint(environment)
                 if mark not in _seen:
                     _seen.add(mark)
-                    found.states.append((k, choice, mark, save(world)))
+                    found.states.append((k, choice, mark, save(environment)))
     return found
 
 
@@ -172,10 +172,10 @@
 
 def _start(scope: str) -> tuple[bytes, bytes, tuple[str, str] | None]:
     try:
-        world = World(SCOPES[scope])
-    except Broken as broken:
+        environment = Environment(SCOPES[scope])
+    except PropertyViolation as broken:
         return b"", b"", (broken.name, broken.message)
-    return fingerprint(world), save(world), None
+    return fingerprint(environment), save(environment), None
 
 
 def _explore(
--- a/latchturn/checking/ledger.py
+++ b/latchturn/checking/history.py
@@ -18,7 +18,7 @@
 GIVE_UP_SLACK_US = 60_000  # a give-up that has not left by then takes its link along
 
 
-class Fact(IntEnum):
+class ObservationKind(IntEnum):
     """What has just come to be known, for the properties to judge."""
 
     TAKEN = 0  # a call is taken
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class Try:
+class ObservedAttempt:
     """One attempt, on one link."""
 
     link: int
@@ -60,7 +60,7 @@
     gone: bool = False  # given up by its caller
     crossed: bool = False  # given up while what it is told may be on its way
     handed: int = 0  # set-ups handed over
-    out: list[Try] = field(default_factory=list)  # handed over and not over yet
+    out: list[ObservedAttempt] = field(default_factory=list)  # handed over and not over yet
     quiet_us: int = 0  # when an attempt timed out, was reset or cancelled last
     answer: bytes | None = None  # description of the answer that an exchange gave to an attempt that was out
     stands_at: int = 0
@@ -82,7 +82,7 @@
 
 
 @dataclass(slots=True)
-class Known:
+class ListedExchange:
     """One exchange as the list has told it."""
 
     number: int
@@ -92,27 +92,27 @@
 
 
 @dataclass(slots=True)
-class Event:
+class Observation:
     """A fact with what it is about; what does not apply is None."""
 
-    fact: Fact
+    fact: ObservationKind
     call: ObservedCall | None = None
-    attempt: Try | None = None
+    attempt: ObservedAttempt | None = None
     message: object = None
     stream: int = 0
 
 
-class Ledger:
+class History:
     """The history, kept as inputs and effects come."""
 
-    def __init__(self, settings: i.Settings, tell: Callable[[Event], None]) -> None:
+    def __init__(self, settings: i.Settings, tell: Callable[[Observation], None]) -> None:
         self.tell = tell  # hears each fact as it comes to be
         self.now = 0
         self.most = settings.max_attempts
         self.release_us = settings.release_us
         self.grace_us = settings.drain_grace_us
         self.calls: dict[int, ObservedCall] = {}
-        self.exchanges: dict[int, Known] = {}
+        self.exchanges: dict[int, ListedExchange] = {}
         self.links: dict[int, int] = {}  # stream -> exchange
         self.up: set[int] = set()
         self.callers: set[int] = set()  # open
@@ -129,12 +129,12 @@
 
     def stepped(self) -> None:
         """One choice of the world and all that it brought up is through."""
-        self.tell(Event(Fact.STEP))
+        self.tell(Observation(ObservationKind.STEP))
 
     def passes(self, now: int) -> None:
         """Time has gone on."""
         self.now = now
-        self.tell(Event(Fact.TIME))
+        self.tell(Observation(ObservationKind.TIME))
 
     def due(self) -> int | None:
         """The next moment at which something must have happened."""
@@ -205,7 +205,7 @@
                 message, stream, self.now, self.now + message.wait_ms * 1000, message.figures.get("dest", -1)
             )
             self.calls[message.call] = told
-            self.tell(Event(Fact.TAKEN, told))
+            self.tell(Observation(ObservationKind.TAKEN, told))
         elif isinstance(message, p.Release) and known is not None:
             if known.owed:
                 known.gone, known.crossed = True, stream in self.stalled
@@ -235,11 +235,11 @@
         if not told.over_us and not told.ended_by_caller_us:
             told.over_us = self.now
 
-    def _over(self, told: ObservedCall, attempt: Try, quiet: bool) -> None:
+    def _over(self, told: ObservedCall, attempt: ObservedAttempt, quiet: bool) -> None:
         told.out.remove(attempt)
         if quiet:
             told.quiet_us = self.now
-        self.tell(Event(Fact.ENDED, told, attempt))
+        self.tell(Observation(ObservationKind.ENDED, told, attempt))
 
     def _lost(self, stream: int) -> None:
         """A connection is no more: the set-ups on it are given up, a caller's calls too."""
@@ -273,7 +273,7 @@
                 fresh = entry.exchange not in self.exchanges
                 if fresh and other.address == listed.address and entry.state is not i.ListState.GONE:
                     self._goes(ident)
-            known = self.exchanges.setdefault(entry.exchange, Known(entry.number, listed.address))
+            known = self.exchanges.setdefault(entry.exchange, ListedExchange(entry.number, listed.address))
             known.address = listed.address
             if entry.state is i.ListState.READY:
                 known.since_us, known.gone = 0, False
@@ -309,20 +309,20 @@
             case s.Connect(stream, address):
                 at = [k for k, e in self.exchanges.items() if e.address == address and not e.gone]
                 self.links[stream] = at[-1] if at else 0
-                self.tell(Event(Fact.CONNECT, stream=stream))
+                self.tell(Observation(ObservationKind.CONNECT, stream=stream))
             case s.Close(stream) | s.CloseIdle(stream):
                 if stream in self.links:
                     self._lost(stream)
                 elif stream in self.callers and isinstance(effect, s.Close):
-                    self.tell(Event(Fact.CUT_OFF, stream=stream))
+                    self.tell(Observation(ObservationKind.CUT_OFF, stream=stream))
             case s.Log(text):
                 if text.startswith("fault"):
-                    self.tell(Event(Fact.FAULT, message=text))
+                    self.tell(Observation(ObservationKind.FAULT, message=text))
             case s.HandOverCalls(calls):
                 self.bequeathed = tuple(call for call, _ in calls)
             case s.Exit():
                 self.exited = True
-                self.tell(Event(Fact.EXIT))
+                self.tell(Observation(ObservationKind.EXIT))
             case _:
                 pass
 
@@ -330,11 +330,11 @@
         told = self.calls.get(message.call)
         if isinstance(message, p.SetUp):
             until = self.now + message.wait_ms * 1000 + GIVE_UP_SLACK_US
-            attempt = Try(link, self.links[link], self.now, until)
+            attempt = ObservedAttempt(link, self.links[link], self.now, until)
             if told is not None:
                 told.handed += 1
                 told.out.append(attempt)
-            self.tell(Event(Fact.HANDED, told, attempt, message, link))
+            self.tell(Observation(ObservationKind.HANDED, told, attempt, message, link))
         elif isinstance(message, p.Release) and told is not None:
             told.end_passed = told.end_passed or told.stands_at == self.links[link]
             for attempt in told.out:
@@ -344,7 +344,7 @@
         if not isinstance(message, p.Answer | p.Release):
             return
         told = self.calls.get(message.call)
-        self.tell(Event(Fact.FINAL, told, None, message, stream))
+        self.tell(Observation(ObservationKind.FINAL, told, None, message, stream))
         if told is None:
             return
         if isinstance(message, p.Release) and told.stood:
@@ -368,6 +368,6 @@
                 continue
             if isinstance(message, p.SetUp):
                 attempt.arrived = True
-                self.tell(Event(Fact.ARRIVED, told, attempt, message, stream))
+                self.tell(Observation(ObservationKind.ARRIVED, told, attempt, message, stream))
             elif isinstance(message, p.Release):
                 self._over(told, attempt, quiet=True)
--- a/latchturn/checking/plants.py
+++ b/latchturn/checking/plants.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True)
-class Plant:
+class PlantedFault:
     """A fault: what is changed, the scope in which it is sought, and how it is planted."""
 
     name: str
@@ -40,14 +40,14 @@
     apply: Callable[[], None]
 
 
-PLANTS: dict[str, Plant] = {}
+PLANTED_FAULTS: dict[str, PlantedFault] = {}
 Body = Callable[..., Any]
 
 
 def _fault(scope: str, about: str) -> Callable[[Callable[[], None]], Callable[[], None]]:
     def enter(apply: Callable[[], None]) -> Callable[[], None]:
         name = apply.__name__.strip("_").replace("_", "-")
-        PLANTS[name] = Plant(name, about, scope, apply)
+        PLANTED_FAULTS[name] = PlantedFault(name, about, scope, apply)
         return apply
 
     return enter
@@ -60,7 +60,7 @@
 
 def plant(name: str) -> None:
     """Plant a fault in this process; KeyError if there is none of that name."""
-    PLANTS[name].apply()
+    PLANTED_FAULTS[name].apply()
 
 
 @_fault("mini", "a time-out ends the attempt, and its give-up is not written")
--- a/latchturn/checking/states.py
+++ b/latchturn/checking/states.py
@@ -24,11 +24,11 @@
 from ..session.component import Component
 from ..session.core import Core
 from ..session.timers import Timers
-from .ledger import Ledger
+from .environment import MOMENT, Environment, MedianRandom
+from .history import History
 from .scopes import SCOPES, SETTINGS, VARIANTS, Scope
-from .world import MOMENT, Middle, World
 
-_MIDDLE = Middle()
+_MIDDLE = MedianRandom()
 _KEPT: tuple[object, ...] = (_MIDDLE, SETTINGS, *SETTINGS.classes, *VARIANTS.values())
 _KEPT_AT = {id(kept): k for k, kept in enumerate(_KEPT)}
 
@@ -48,24 +48,24 @@
 
 _TABLE: dict[type, Callable[[Any], Any]] = {
     **copyreg.dispatch_table, i.Settings: _reduce, i.CallClass: _reduce, Scope: lambda s: (_scope, (s.name,)),
-    Middle: lambda _: (_kept, (0,)),
+    MedianRandom: lambda _: (_kept, (0,)),
 }  # fmt: skip
 
 
-def save(world: World) -> bytes:
+def save(environment: Environment) -> bytes:
     """A snapshot of a world."""
     buffer = io.BytesIO()
     pickler = pickle.Pickler(buffer, 5)
     pickler.dispatch_table = _TABLE
-    pickler.dump(world)
+    pickler.dump(environment)
     return buffer.getvalue()
 
 
-def load(snapshot: bytes) -> World:
+def load(snapshot: bytes) -> Environment:
     """The world of a snapshot, apart from all others."""
-    world = pickle.loads(snapshot)
-    assert isinstance(world, World)
-    return world
+    environment = pickle.loads(snapshot)
+    assert isinstance(environment, Environment)
+    return environment
 
 
 # --- fingerprints ---
@@ -89,8 +89,8 @@
     Timers: frozenset(("count", "heap")),
     # What settings are in use says the rest; the classes before end with their callers' patience.
     Classes: frozenset(("served", "settings", "by_name", "tenants", "before")),
-    Ledger: frozenset(("now", "tell")),
-    World: frozenset(("scope", "now", "session", "story")),
+    History: frozenset(("now", "tell")),
+    Environment: frozenset(("scope", "now", "session", "story")),
 }
 _SIMPLE = (str, bytes, type(None), bool, float)
 _FIELDS: dict[type, tuple[str, ...]] = {}
@@ -149,17 +149,17 @@
         return [(k, of(v)) for k, v in vars(value).items() if k not in left_out]
 
 
-def fingerprint(world: World) -> bytes:
+def fingerprint(environment: Environment) -> bytes:
     """16 bytes that are equal for states that count as one."""
-    walk = _Walk(world.now)
-    session = world.session
+    walk = _Walk(environment.now)
+    session = environment.session
     module = session.decision_module.controller
-    tokens = [(module.timers[k], walk.of(k)) for k in module.timers if world.token_lives(k)]
+    tokens = [(module.timers[k], walk.of(k)) for k in module.timers if environment.token_lives(k)]
     parts = [walk.of(part) for part in vars(session).values() if isinstance(part, Component)]
     timers = [
-        (at - world.now, timer.kind.name, walk.of(timer.what))
+        (at - environment.now, timer.kind.name, walk.of(timer.what))
         for at, _, timer in sorted(session.timers.heap, key=lambda t: t[:2])
-        if world.alive(timer)
+        if environment.alive(timer)
     ]
-    state = (parts, tokens, walk.of(session.core), timers, walk.of(world.ledger), walk.of(world))
+    state = (parts, tokens, walk.of(session.core), timers, walk.of(environment.history), walk.of(environment))
     return hashlib.blake2b(marshal.dumps(state, 2), digest_size=16).digest()
--- a/latchturn/checking/traces.py
+++ b/latchturn/checking/traces.py
@@ -13,8 +13,8 @@
 
 from .. import protocol as p
 from .. import session as s
+from .environment import START, Choice, Environment, PropertyViolation
 from .scopes import SCOPES
-from .world import START, Broken, Choice, World
 
 VERSION = 1
 
@@ -56,21 +56,23 @@
     return trace
 
 
-def replay(scope: str, choices: Iterable[Choice], world: World | None = None, end: bool = True) -> Broken | None:
+def replay(
+    scope: str, choices: Iterable[Choice], environment: Environment | None = None, end: bool = True
+) -> PropertyViolation | None:
     """Make choices one after the other; what broke, if anything did. TraceError for a choice that is not offered
     at its place. With `end`, what follows the last choice is checked too where the scope ends there."""
-    world = world or World(SCOPES[scope])
+    environment = environment or Environment(SCOPES[scope])
     try:
         for number, choice in enumerate(choices, 1):
-            offered = world.choices()
+            offered = environment.choices()
             if choice not in offered:
                 shown = " ".join(map(str, choice))
                 kinds = sorted({str(c[0]) for c in offered})
                 raise TraceError(f"choice {number}, {shown!r}, cannot be made there; expected {', '.join(kinds)}")
-            world.do(choice)
-        if end and not world.choices():
-            world.close_out()
-    except Broken as broken:
+            environment.do(choice)
+        if end and not environment.choices():
+            environment.close_out()
+    except PropertyViolation as broken:
         return broken
     return None
 
@@ -80,46 +82,46 @@
 
 def story(scope: str, choices: Iterable[Choice]) -> list[str]:
     """A path as lines: when, who, what. The last line says what broke, if anything did."""
-    world = World(SCOPES[scope])
-    world.story = []
+    environment = Environment(SCOPES[scope])
+    environment.story = []
     lines: list[str] = []
     broken = None
     try:
         for choice in choices:
-            world.do(choice)
-            _tell(world, lines)
-        if not world.choices():
-            world.close_out()
-    except Broken as error:
+            environment.do(choice)
+            _tell(environment, lines)
+        if not environment.choices():
+            environment.close_out()
+    except PropertyViolation as error:
         broken = error
-    _tell(world, lines)
+    _tell(environment, lines)
     if broken is not None:
         lines.append(f"BROKEN  {broken.name}: {broken.message}")
     return lines
 
 
-def _tell(world: World, lines: list[str]) -> None:
-    happened, world.story = world.story or [], []
+def _tell(environment: Environment, lines: list[str]) -> None:
+    happened, environment.story = environment.story or [], []
     for moment, what in happened:
-        for who, text in _words(world, what):
+        for who, text in _words(environment, what):
             lines.append(f"{(moment - START) / 1000:8.1f} ms  {who:<14}{text}")
 
 
-def _words(world: World, what: object) -> list[tuple[str, str]]:
+def _words(environment: Environment, what: object) -> list[tuple[str, str]]:
     """Who does what, in words; nothing for what says nothing to a reader."""
     if what is None:
         return [("clock", "goes on")]
     if isinstance(what, s.Write):
-        return [("controller", f"to {_stream(world, what.stream)}: {_message(m)}") for m in what.messages]
+        return [("controller", f"to {_stream(environment, what.stream)}: {_message(m)}") for m in what.messages]
     if isinstance(what, s.MessageReceived):
-        return [(_stream(world, what.stream), _message(what.message))]
+        return [(_stream(environment, what.stream), _message(what.message))]
     if isinstance(what, s.WriteCompleted | s.Tick | s.Log):
         return [("controller", what.text)] if isinstance(what, s.Log) else []
     if isinstance(what, s.Connect | s.Close | s.CloseIdle):
         verb = {s.Connect: "opens", s.Close: "closes", s.CloseIdle: "closes, if idle,"}[type(what)]
-        return [("controller", f"{verb} {_stream(world, what.stream)}")]
+        return [("controller", f"{verb} {_stream(environment, what.stream)}")]
     if isinstance(what, s.ConnectionClosed | s.Connected | s.ConnectFailed | s.EndOfInput | s.Accepted):
-        return [(_stream(world, what.stream), type(what).__name__.lower())]
+        return [(_stream(environment, what.stream), type(what).__name__.lower())]
     if isinstance(what, s.ListUpdateReceived):
         told = ", ".join(f"{k.entry.exchange} {k.entry.state.name.lower()}" for k in what.update.records)
         return [("list", told)]
@@ -131,8 +133,10 @@
     return [("operators" if inward else "controller", str(what)[:90])]
 
 
-def _stream(world: World, stream: int) -> str:
-    far = world.ledger.links.get(stream) or (stream < 0 and stream in world.peers and world.peers[stream].far)
+def _stream(environment: Environment, stream: int) -> str:
+    far = environment.history.links.get(stream) or (
+        stream < 0 and stream in environment.peers and environment.peers[stream].far
+    )
     return f"caller {stream}" if stream > 0 else f"{far or 'link'}/{stream}"
 
 
--- a/latchturn/checking/walks.py
+++ b/latchturn/checking/walks.py
@@ -7,9 +7,9 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
+from .environment import Choice, Environment, PropertyViolation
 from .pairs import Pairs, record
 from .scopes import SCOPES
-from .world import Broken, Choice, World
 
 # How often a kind of choice is taken against the others: the clock must go on, and all must not break at once.
 WEIGHTS = {
@@ -47,17 +47,17 @@
     path: list[Choice] = []
     with record(seen.pairs):
         try:
-            world = World(SCOPES[scope])
+            environment = Environment(SCOPES[scope])
             for _ in range(steps):
-                choices = world.choices()
+                choices = environment.choices()
                 if not choices:
                     break
                 weights = [WEIGHTS.get(str(c[0]), RARE) for c in choices]
                 path.append(draw.choices(choices, weights)[0])
                 seen.kinds[str(path[-1][0])] += 1
-                world.do(path[-1])
-            world.close_out()
-        except Broken as broken:
+                environment.do(path[-1])
+            environment.close_out()
+        except PropertyViolation as broken:
             seen.broken, seen.message = broken.name, broken.message
             seen.choices = tuple(path)
     seen.steps, seen.calls = len(path), seen.kinds["set_up"]
@@ -67,14 +67,14 @@
 
 def breaks(choices: list[Choice], scope: str) -> tuple[str, list[Choice]]:
     """Which property breaks on a path from which choices that are not offered fall out, and the path as made."""
-    world, made = World(SCOPES[scope]), list[Choice]()
+    environment, made = Environment(SCOPES[scope]), list[Choice]()
     try:
         for choice in choices:
-            if choice in world.choices():
+            if choice in environment.choices():
                 made.append(choice)
-                world.do(choice)
-        world.close_out()
-    except Broken as broken:
+                environment.do(choice)
+        environment.close_out()
+    except PropertyViolation as broken:
         return broken.name, made
     return "", made
 
--- a/latchturn/cli/check.py
+++ b/latchturn/cli/check.py
@@ -19,7 +19,7 @@
 
 def _known(_: click.Context, option: click.Parameter, value: str | None) -> str | None:
     """One clear line for a name that does not exist."""
-    names = plants.PLANTS if option.name == "fault" else scopes.SCOPES
+    names = plants.PLANTED_FAULTS if option.name == "fault" else scopes.SCOPES
     if value and value not in names:
         raise click.BadParameter(f"{value!r} does not exist; expected one of {', '.join(names)}")
     return value
@@ -106,18 +106,20 @@
     caught = set()
 
     def run(name: str) -> explorer.Result:
-        return explorer.explore(plants.PLANTS[name].scope, 1, seconds, name)
+        return explorer.explore(plants.PLANTED_FAULTS[name].scope, 1, seconds, name)
 
     with ThreadPoolExecutor(jobs) as threads:
-        for name, result in zip(plants.PLANTS, threads.map(run, plants.PLANTS)):
+        for name, result in zip(plants.PLANTED_FAULTS, threads.map(run, plants.PLANTED_FAULTS)):
             missed += not result.broken
             caught.add(result.broken)
             click.echo(
                 f"{name:<29}{result.scope:<12}{result.broken or 'NOT CAUGHT':<14}{len(result.choices):>5}"
                 f"{result.states:>8}{result.seconds:>7.1f}s"
             )
-    idle = [law.name for law in properties.PROPERTIES if law.name not in caught]
-    click.echo(f"{len(plants.PLANTS)} faults, {missed} not caught; properties that caught none: {idle or 'none'}")
+    idle = [property_.name for property_ in properties.PROPERTIES if property_.name not in caught]
+    click.echo(
+        f"{len(plants.PLANTED_FAULTS)} faults, {missed} not caught; properties that caught none: {idle or 'none'}"
+    )
     sys.exit(BROKEN if missed or idle else HOLDS)
 
 
@@ -155,8 +157,8 @@
 @check.command(name="properties")
 def all_properties() -> None:
     """The laws, a sentence each."""
-    for law in properties.PROPERTIES:
-        click.echo(f"{law.name:<14}{law.law}")
+    for property_ in properties.PROPERTIES:
+        click.echo(f"{property_.name:<14}{property_.statement}")
 
 
 @check.command(name="scopes")
--- a/tests/test_checking.py
+++ b/tests/test_checking.py
@@ -14,13 +14,13 @@
 from latchturn import protocol as p
 from latchturn import session as s
 from latchturn.checking import plants, traces
+from latchturn.checking.environment import Environment
 from latchturn.checking.explorer import explore
 from latchturn.checking.pairs import table, unmet
 from latchturn.checking.properties import PROPERTIES
 from latchturn.checking.scopes import EXHAUSTIVE, SCOPES
 from latchturn.checking.states import fingerprint, load, save
 from latchturn.checking.walks import breaks, shorten, walk
-from latchturn.checking.world import World
 from latchturn.cli.__main__ import main
 from latchturn.session.machines import CALL, MACHINES, CallMove, CallState, ImpossibleMove, Machine
 from tests.helpers import Desk, listed, set_up
@@ -86,23 +86,23 @@
 
 class States(unittest.TestCase):
     def test_a_snapshot_goes_on_as_its_world_did(self) -> None:
-        world = World(SCOPES["two"])
+        environment = Environment(SCOPES["two"])
         for choice in PATH:
-            world.do(choice)
-        again = load(save(world))
-        self.assertEqual(fingerprint(again), fingerprint(world))
-        for each in (world, again):
+            environment.do(choice)
+        again = load(save(environment))
+        self.assertEqual(fingerprint(again), fingerprint(environment))
+        for each in (environment, again):
             each.do(("tick",))
-        self.assertEqual(fingerprint(again), fingerprint(world))
-        self.assertEqual(again.choices(), world.choices())
+        self.assertEqual(fingerprint(again), fingerprint(environment))
+        self.assertEqual(again.choices(), environment.choices())
 
     def test_orders_that_come_to_the_same_have_one_fingerprint_and_others_have_not(self) -> None:
         marks = []
         for last in (("half", 1), ("half", 2)), (("half", 2), ("half", 1)), (("half", 1),):
-            world = World(SCOPES["wide"])
+            environment = Environment(SCOPES["wide"])
             for choice in (("set_up", 1), *last):
-                world.do(choice)
-            marks.append(fingerprint(world))
+                environment.do(choice)
+            marks.append(fingerprint(environment))
         self.assertEqual(marks[0], marks[1])
         self.assertNotEqual(marks[0], marks[2])
 
@@ -123,15 +123,15 @@
         self.assertFalse(explore("two", 1, 0.2).exhausted)
 
     def test_a_fault_is_found_on_a_shortest_path_that_holds_without_it(self) -> None:
-        for name, law, depth in (("pause-forgotten", "pause", 2), ("number-changed", "unchanged", 1)):
+        for name, violated, depth in (("pause-forgotten", "pause", 2), ("number-changed", "unchanged", 1)):
             found = explore("mini", 2, 30, name)
-            self.assertEqual((found.broken, len(found.choices)), (law, depth))
+            self.assertEqual((found.broken, len(found.choices)), (violated, depth))
             self.assertIsNone(traces.replay("mini", found.choices, end=False))
 
     def test_the_catalogue_has_faults_for_all_scopes_but_walks(self) -> None:
-        self.assertGreaterEqual(len(plants.PLANTS), 20)
-        self.assertLessEqual({k.scope for k in plants.PLANTS.values()}, set(EXHAUSTIVE))
-        self.assertEqual(len({law.name for law in PROPERTIES}), len(PROPERTIES))
+        self.assertGreaterEqual(len(plants.PLANTED_FAULTS), 20)
+        self.assertLessEqual({k.scope for k in plants.PLANTED_FAULTS.values()}, set(EXHAUSTIVE))
+        self.assertEqual(len({property_.name for property_ in PROPERTIES}), len(PROPERTIES))
 
 
 class Walks(unittest.TestCase):
