--- a/latchturn/benchlink.py
+++ b/latchturn/benchlink.py
@@ -137,14 +137,14 @@
         classes.append(
             i.CallClass(
                 name=pairs.text(base + "name", str(k)),
-                worth=pairs.real(base + "importance"),
+                value=pairs.real(base + "importance"),
                 late_share=pairs.real(base + "late-value", "0"),
-                aim_us=pairs.integer(base + "objective-us"),
+                target_us=pairs.integer(base + "objective-us"),
                 give_up_us=pairs.integer(base + "give-up-us"),
                 width=widths[k],
                 holding_us=holds[k],
                 pools=tuple(int(float(part)) for part in pools.replace("|", ",").split(",") if part),
-                once=pairs.text(base + "effect", "pure") != "pure",
+                at_most_once=pairs.text(base + "effect", "pure") != "pure",
             )
         )
     stay_away = pairs.integer("allowed.max-retry-after-us", "0")
--- a/latchturn/brain.py
+++ b/latchturn/brain.py
@@ -159,9 +159,9 @@
     tried: list[int] = field(default_factory=list)
 
     @property
-    def worth(self) -> float:
+    def value_per_circuit(self) -> float:
         """Worth for each circuit."""
-        return self.cls.worth / self.offer.width
+        return self.cls.value / self.offer.width
 
 
 class Controller:
@@ -171,7 +171,7 @@
         self._use(settings)
         self.random = random.Random(seed)
         self.backs = 0.0  # share of two-leg set-ups that came back, smoothed
-        self.usual_us = USUAL_START * self.aim_us  # set-up time of direct calls, smoothed
+        self.usual_us = USUAL_START * self.shortest_target_us  # set-up time of direct calls, smoothed
         number = settings.own_number
         # Place among all proxies, from 0 to 1: numbers in a row lie evenly at steps of the golden ratio.
         self.place = number * 0.618034 % 1.0 if number >= 0 else self.random.random()
@@ -195,7 +195,7 @@
         validate(settings)
         self.settings = settings
         self.pools = settings.shape is i.Shape.POOLS
-        self.aim_us = min(c.aim_us for c in settings.classes)
+        self.shortest_target_us = min(c.target_us for c in settings.classes)
 
     def handle(self, now_us: int, event: i.Event) -> list[i.Action]:
         """What to do about one event."""
@@ -329,7 +329,7 @@
             _keep(self.failed, call.offer.called, call.first_us, CALLERS_KEPT)
 
     def _late(self, call: Call) -> bool:
-        return self.now - call.first_us >= call.cls.aim_us
+        return self.now - call.first_us >= call.cls.target_us
 
     def _route(self, call: Call) -> bool:
         """Send the call if the ordinary path and the guards admit it."""
@@ -349,14 +349,14 @@
         closed = closed or (self._cold(target) and not self._cold_open(target))
         if not closed and group.admits(cls, offer.width):
             begin = self.now if late else call.first_us
-            self._send(call, target, cls, int(begin + call.cls.aim_us * DIRECT_TIMEOUT - self.now))
+            self._send(call, target, cls, int(begin + call.cls.target_us * DIRECT_TIMEOUT - self.now))
             return True
         if offer.transit or late or target.pressed() or self._cold(target):
             return False
         best = self._tandem(call)
         if best is None:
             return False
-        self._send(call, best, TWO_LEG, int(call.cls.aim_us * TWO_LEG_TIMEOUT))
+        self._send(call, best, TWO_LEG, int(call.cls.target_us * TWO_LEG_TIMEOUT))
         return True
 
     def _tandem(self, call: Call) -> Exchange | None:
@@ -400,7 +400,7 @@
             call.tried.append(to.number)
         if call.waiting:
             self._leave_line(call)
-        timeout = min(call.offer.deadline_us - self.now, max(timeout, int(MIN_TIMEOUT * self.aim_us)))
+        timeout = min(call.offer.deadline_us - self.now, max(timeout, int(MIN_TIMEOUT * self.shortest_target_us)))
         self.actions.append(i.SendSetup(call.offer.call, to.exchange, timeout))
 
     def _used_up(self, call: Call) -> bool:
@@ -413,8 +413,8 @@
 
     def _wait(self, call: Call) -> None:
         """Hold a call in line until a circuit or a window opens, or its aim or its deadline is near."""
-        aim_near = call.first_us + int(call.cls.aim_us * WAIT_SHARE)
-        least = max(int(ANSWER_MARGIN * self.aim_us), int(LEAST_TIME * self.usual_us))
+        aim_near = call.first_us + int(call.cls.target_us * WAIT_SHARE)
+        least = max(int(ANSWER_MARGIN * self.shortest_target_us), int(LEAST_TIME * self.usual_us))
         call.until = min(aim_near, call.offer.deadline_us - least)
         if reason := self._given_up(call):
             self._refuse(call, self._stay_away(call), reason)
@@ -461,11 +461,11 @@
         group = target.group
         short = max(0, call.offer.width - group.told_free)
         frees = int(short * call.cls.holding_us / max(1, group.size - group.told_free))
-        if self.now + frees >= call.first_us + call.cls.aim_us:
+        if self.now + frees >= call.first_us + call.cls.target_us:
             return self.settings.max_stay_away_us
         # Guards against callers that come too late for their aim where nothing but chance stood in the way:
         # an exchange that fails set-ups at random has used the call's attempts up.
-        soon = int(SOON * self.aim_us) if self._used_up(call) else 0
+        soon = int(SOON * self.shortest_target_us) if self._used_up(call) else 0
         return max(frees, self._opens(call) - self.now, soon)
 
     def _yields(self, call: Call) -> bool:
@@ -474,7 +474,7 @@
         Guards against narrow calls that take every freed circuit before a wide one can have all of its own.
         """
         line = self.lines.get(call.offer.destination, ())
-        return any(c.offer.width > call.offer.width and c.worth >= call.worth for c in line)
+        return any(c.offer.width > call.offer.width and c.value_per_circuit >= call.value_per_circuit for c in line)
 
     def _leave_line(self, call: Call) -> None:
         call.waiting = False
@@ -489,7 +489,7 @@
         if not line:
             return
         blocked = False
-        for call in sorted(line, key=lambda c: (-c.worth, c.first_us, c.offer.call)):
+        for call in sorted(line, key=lambda c: (-c.value_per_circuit, c.first_us, c.offer.call)):
             if reason := self._given_up(call):
                 self._refuse(call, self._stay_away(call), reason)
             elif not blocked and not self._route(call) and self.now >= call.not_before:
@@ -526,7 +526,7 @@
         took = self.now - call.sent_us
         if not call.two_leg:
             self.usual_us += ANSWER_FADE * (took - self.usual_us)
-        if took <= self.aim_us * PROMPT_SHARE:
+        if took <= self.shortest_target_us * PROMPT_SHARE:
             at.window = min(WINDOW_MOST, at.window + 1.0)
         elif not call.two_leg or call.offer.transit:
             self._shrink(at, call.sent_us)
@@ -560,7 +560,7 @@
                 self._failed(call)
             else:
                 del self.calls[event.call]
-        elif call.cls.once and outcome not in NEVER_RAN:
+        elif call.cls.at_most_once and outcome not in NEVER_RAN:
             # Guards against effects that come twice: its caller would try a refused call again.
             self._failed(call)
             self.actions.append(i.GiveUp(event.call, Reason.MAY_HAVE_RUN))
@@ -598,7 +598,7 @@
                 # Guards against tandems whose onward group stays full: their turn-backs feed processors.
                 times = at.turned_back.get(call.offer.destination, NEVER)[0]
                 pause = min(TURN_BACK_MOST, TURN_BACK_FIRST * 2 ** min(times, 20))
-                at.turned_back[call.offer.destination] = (times + 1, self.now + int(self.aim_us * pause))
+                at.turned_back[call.offer.destination] = (times + 1, self.now + int(self.shortest_target_us * pause))
             if cause is i.Cause.FAR_PROCESSOR_FULL:
                 target = self.by_number.get(call.offer.destination)
                 if target is not None:
@@ -617,7 +617,7 @@
                 self._log(f"exchange {at.number} is silent, tried sparingly")
 
     def _mark_busy(self, called: int) -> None:
-        gap = self.aim_us * BUSY_GAP * self.settings.proxies
+        gap = self.shortest_target_us * BUSY_GAP * self.settings.proxies
         _keep(self.busy, called, self.now + int(gap), NUMBERS_KEPT)
 
     def _number_busy(self, called: int) -> bool:
@@ -731,11 +731,11 @@
 
     need(len(s.classes) > 0, "classes", s.classes)
     for k, c in enumerate(s.classes):
-        need(c.aim_us > 0, f"classes[{k}].aim_us", c.aim_us)
+        need(c.target_us > 0, f"classes[{k}].target_us", c.target_us)
         need(c.give_up_us > 0, f"classes[{k}].give_up_us", c.give_up_us)
         need(c.width > 0, f"classes[{k}].width", c.width)
         need(c.holding_us > 0, f"classes[{k}].holding_us", c.holding_us)
-        need(c.worth >= 0, f"classes[{k}].worth", c.worth)
+        need(c.value >= 0, f"classes[{k}].value", c.value)
     for name in ("proxies", "max_attempts", "warm_us", "fall_us"):
         need(getattr(s, name) > 0, name, getattr(s, name))
     for name in ("release_us", "drain_grace_us", "ask_within_us", "max_stay_away_us", "resend_us"):
--- a/latchturn/checking/states.py
+++ b/latchturn/checking/states.py
@@ -75,7 +75,7 @@
     Controller: frozenset(
         (
             "settings",
-            "aim_us",
+            "shortest_target_us",
             "place",
             "pools",
             "started",
--- a/latchturn/interface.py
+++ b/latchturn/interface.py
@@ -63,14 +63,14 @@
     """One class of calls."""
 
     name: str
-    worth: float
+    value: float
     late_share: float  # share of the worth that a late set-up earns
-    aim_us: int
+    target_us: int
     give_up_us: int
     width: int  # circuits on each trunk group
     holding_us: int
     pools: tuple[int, ...] = ()  # shape POOLS: numbers of the pools that it may go to
-    once: bool = False  # an attempt that may have run must not be repeated, nor the call refused after it
+    at_most_once: bool = False  # an attempt that may have run must not be repeated, nor the call refused after it
 
 
 @dataclass(slots=True, frozen=True)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -230,7 +230,7 @@
     bench.told(1, 0)
     _, actions = bench.offer(1)
     (send,) = [a for a in actions if isinstance(a, i.SendSetup)]
-    assert send.exchange == 102 and 0 < send.timeout_us < SETTINGS.classes[0].aim_us
+    assert send.exchange == 102 and 0 < send.timeout_us < SETTINGS.classes[0].target_us
 
 
 def test_a_caller_that_left_is_never_answered() -> None:
@@ -424,7 +424,7 @@
     for _ in range(4):
         actions = bench.ended(call, 1, i.Outcome.NO_LINE)
     (refusal,) = [a for a in actions if isinstance(a, i.Refuse)]
-    assert 0 < refusal.stay_away_us <= bench.controller.aim_us // 10
+    assert 0 < refusal.stay_away_us <= bench.controller.shortest_target_us // 10
 
 
 def test_an_exchange_that_has_gone_is_forgotten_and_its_calls_still_end() -> None:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -72,11 +72,11 @@
         # By the shorter of the waits before and now: which of them the deployment counts cannot be known.
         for before_us, now_us in ((9 * SECOND, SECOND // 2), (SECOND // 2, 9 * SECOND)):
             desk = Desk()
-            self.use(desk, replace(PLAIN, name="premium_quote", give_up_us=before_us, aim_us=450_000))
+            self.use(desk, replace(PLAIN, name="premium_quote", give_up_us=before_us, target_us=450_000))
             desk.pass_time_in_touch(10 * SECOND)
             desk.do(s.Accepted(2))
             written = desk.hear(2, set_up(1, wait_ms=min(2500, before_us // 1000)))
-            self.use(desk, replace(PLAIN, name="premium_quote", give_up_us=now_us, aim_us=450_000))
+            self.use(desk, replace(PLAIN, name="premium_quote", give_up_us=now_us, target_us=450_000))
             self.assertEqual(desk.figure("outstanding"), 1)
             desk.do(s.Terminate())
             kill_us = SECOND // 2 + 700_000
@@ -109,13 +109,13 @@
         self.assertEqual(finals(bench.stands(call, 1)), [])
 
     def test_a_call_that_may_run_once_fails_where_it_may_have_run(self) -> None:
-        once = changed(classes=tuple(replace(c, once=True) for c in SETTINGS.classes))
+        at_most_once = changed(classes=tuple(replace(c, at_most_once=True) for c in SETTINGS.classes))
         cases = {
             i.Outcome.CUT: i.GiveUp, i.Outcome.TIMED_OUT: i.GiveUp, i.Outcome.NO_LINE: i.GiveUp,
             i.Outcome.TURNED_AWAY: i.SendSetup, i.Outcome.UNREACHABLE: i.SendSetup,
         }  # fmt: skip
         for outcome, action in cases.items():
-            bench = Bench(once)
+            bench = Bench(at_most_once)
             call, _ = bench.offer(1)
             cause = i.Cause.NUMBER_BUSY if outcome is i.Outcome.NO_LINE else i.Cause.NONE
             actions = bench.ended(call, 1, outcome, cause)
