--- a/bench/reducer.py
+++ b/bench/reducer.py
@@ -42,9 +42,9 @@
 def settings(i: Any) -> Any:
     classes = (i.CallClass("premium-quote", 1.0, 0.1, 1_500_000, 9_000_000, 1, 9_200_000),)
     return i.Settings(
-        classes=classes, shape=i.Shape.MESH, own_number=0, proxies=7, max_attempts=4, release_us=300_000,
-        drain_grace_us=2_000_000, cold_from=0.29, warm_us=15_000_000, fall_multiple=2.5, fall_us=2_000_000,
-        connect_timeout_us=500_000, list_on_request=False, ask_within_us=0, max_stay_away_us=2_000_000,
+        classes=classes, topology=i.Topology.MESH, own_number=0, controllers=7, max_attempts=4, release_us=300_000,
+        drain_grace_us=2_000_000, cold_start_share=0.29, warm_up_us=15_000_000, collapse_multiple=2.5,
+        collapse_us=2_000_000, connect_timeout_us=500_000, list_on_request=False, ask_within_us=0, max_retry_after_us=2_000_000,
         resend_us=0,
     )  # fmt: skip
 
--- a/latchturn/benchlink.py
+++ b/latchturn/benchlink.py
@@ -123,8 +123,8 @@
         raise SettingsError("setting family-info.widths has fewer entries than there are classes")
     if len(holds) < count:
         raise SettingsError("setting family-info.class-hold-us has fewer entries than there are classes")
-    shape = {"meshed": i.Shape.MESH, "groups": i.Shape.POOLS}.get(pairs.text("family-info.shape"))
-    if shape is None:
+    topology = {"meshed": i.Topology.MESH, "groups": i.Topology.POOLS}.get(pairs.text("family-info.shape"))
+    if topology is None:
         raise SettingsError("setting family-info.shape is unreadable")
     classes = []
     for k in range(count):
@@ -150,22 +150,22 @@
     stay_away = pairs.integer("allowed.max-retry-after-us", "0")
     settings = i.Settings(
         classes=tuple(classes),
-        shape=shape,
+        topology=topology,
         own_number=pairs.integer("family-info.own-exchange"),
-        proxies=pairs.integer("instances"),
+        controllers=pairs.integer("instances"),
         max_attempts=pairs.integer("allowed.send-cap"),
         release_us=pairs.integer("family-info.release-us"),
         drain_grace_us=pairs.integer("rules.stop-sending-within-us"),
-        cold_from=pairs.real("rules.cold-from"),
-        warm_us=pairs.integer("rules.warm-within-us"),
-        fall_multiple=pairs.real("rules.fall-multiple"),
-        fall_us=pairs.integer("rules.fall-us"),
+        cold_start_share=pairs.real("rules.cold-from"),
+        warm_up_us=pairs.integer("rules.warm-within-us"),
+        collapse_multiple=pairs.real("rules.fall-multiple"),
+        collapse_us=pairs.integer("rules.fall-us"),
         connect_timeout_us=pairs.integer("allowed.connect-timeout-us"),
         list_on_request=pairs.text("discovery") == "on_request",
         ask_within_us=pairs.integer("rules.ask-within-us", "0"),
-        max_stay_away_us=stay_away if pairs.flag("allowed.retry-after", "false") else 0,
+        max_retry_after_us=stay_away if pairs.flag("allowed.retry-after", "false") else 0,
         resend_us=pairs.integer("family-info.resend-us", "0"),
-        late_price=pairs.real("deductions.late-fail", "0"),
+        late_penalty=pairs.real("deductions.late-fail", "0"),
         tenants=tuple(pairs.text(f"realms.{k}.name") for k in range(pairs.integer("realms.count", "0"))),
     )
     fields = [REPORT_FIELDS.get(name) for name in pairs.text("report.fields", "").split(",") if name]
@@ -329,7 +329,7 @@
         if isinstance(action, i.SendSetup):
             out.append(ACT_SEND.pack(66, proxy, action.call, action.exchange, action.timeout_us))
         elif isinstance(action, i.Refuse):
-            out.append(ACT_TWO.pack(69, proxy, action.call, action.stay_away_us))
+            out.append(ACT_TWO.pack(69, proxy, action.call, action.retry_after_us))
         elif isinstance(action, i.SetTimer):
             out.append(ACT_TWO.pack(65, proxy, action.delay_us, action.token))
         elif isinstance(action, i.GiveUp):
--- a/latchturn/brain.py
+++ b/latchturn/brain.py
@@ -194,7 +194,7 @@
     def _use(self, settings: i.Settings) -> None:
         validate(settings)
         self.settings = settings
-        self.pools = settings.shape is i.Shape.POOLS
+        self.pools = settings.topology is i.Topology.POOLS
         self.shortest_target_us = min(c.target_us for c in settings.classes)
 
     def handle(self, now_us: int, event: i.Event) -> list[i.Action]:
@@ -268,7 +268,7 @@
             group = self.groups.setdefault(entry.number, Group())
             known = self.exchanges[entry.exchange] = Exchange(entry.exchange, entry.number, group)
         ready = entry.state is i.ListState.READY
-        cold_until = entry.started_us + self.settings.warm_us if entry.started_us else 0
+        cold_until = entry.started_us + self.settings.warm_up_us if entry.started_us else 0
         if cold_until != known.cold_until:
             known.cold_until = cold_until
             if cold_until > self.now:
@@ -295,11 +295,11 @@
         self.calls[offer.call] = call
         if not offer.transit and call.first_us == self.now:
             gap = max(1, self.now - self.offers_us)
-            fade = min(1.0, gap / self.settings.warm_us)
+            fade = min(1.0, gap / self.settings.warm_up_us)
             self.offers += fade * (1e6 / gap - self.offers)
             self.offers_us = self.now
         if self._number_busy(offer.called):
-            self._refuse(call, self.settings.max_stay_away_us, Reason.NUMBER_BUSY)
+            self._refuse(call, self.settings.max_retry_after_us, Reason.NUMBER_BUSY)
         elif not self._route(call):
             if offer.transit:
                 self._refuse(call, 0, Reason.NO_TRANSIT_ROUTE)
@@ -457,12 +457,12 @@
         is likely within its aim."""
         target = self.by_number.get(call.offer.destination)
         if target is None or not target.ready or not target.group.told:
-            return self.settings.max_stay_away_us
+            return self.settings.max_retry_after_us
         group = target.group
         short = max(0, call.offer.width - group.told_free)
         frees = int(short * call.cls.holding_us / max(1, group.size - group.told_free))
         if self.now + frees >= call.first_us + call.cls.target_us:
-            return self.settings.max_stay_away_us
+            return self.settings.max_retry_after_us
         # Guards against callers that come too late for their aim where nothing but chance stood in the way:
         # an exchange that fails set-ups at random has used the call's attempts up.
         soon = int(SOON * self.shortest_target_us) if self._used_up(call) else 0
@@ -499,7 +499,7 @@
         if call.waiting:
             self._leave_line(call)
         self._failed(call)
-        stay_away = min(stay_away, self.settings.max_stay_away_us)
+        stay_away = min(stay_away, self.settings.max_retry_after_us)
         self.actions.append(i.Refuse(call.offer.call, stay_away, reason))
 
     def _stands(self, event: i.CallStands) -> None:
@@ -565,12 +565,12 @@
             self._failed(call)
             self.actions.append(i.GiveUp(event.call, Reason.MAY_HAVE_RUN))
         elif cause is i.Cause.NUMBER_BUSY:
-            self._refuse(call, self.settings.max_stay_away_us, Reason.NUMBER_BUSY)
+            self._refuse(call, self.settings.max_retry_after_us, Reason.NUMBER_BUSY)
         elif call.offer.transit:
             self._refuse(call, 0, Reason.TRANSIT_ATTEMPT_ENDED)
         elif outcome is i.Outcome.NOT_SENT and cause is i.Cause.PROCESSOR_FULL:
             # Guards against spending all attempts at once while the own processor is out of service.
-            self._refuse(call, self.settings.max_stay_away_us, Reason.OWN_PROCESSOR_FULL)
+            self._refuse(call, self.settings.max_retry_after_us, Reason.OWN_PROCESSOR_FULL)
         elif self._hopeless(call):
             self._failed(call)
             self.actions.append(i.GiveUp(event.call, Reason.TOO_LITTLE_TIME))
@@ -617,7 +617,7 @@
                 self._log(f"exchange {at.number} is silent, tried sparingly")
 
     def _mark_busy(self, called: int) -> None:
-        gap = self.shortest_target_us * BUSY_GAP * self.settings.proxies
+        gap = self.shortest_target_us * BUSY_GAP * self.settings.controllers
         _keep(self.busy, called, self.now + int(gap), NUMBERS_KEPT)
 
     def _number_busy(self, called: int) -> bool:
@@ -686,7 +686,7 @@
         gap, at a place in it that hangs on its number: turns of all proxies lie evenly, from the first on,
         however late each hears of the start and whether it restarts itself.
         """
-        start = far.cold_until - self.settings.warm_us + int(self.place * gap)
+        start = far.cold_until - self.settings.warm_up_us + int(self.place * gap)
         return start + -((start - after) // gap) * gap
 
     def _cold_open(self, far: Exchange) -> bool:
@@ -708,8 +708,8 @@
         s = self.settings
         told = sorted(e.can_take for e in self.exchanges.values() if e.can_take > 0)
         takes = 2.0 * self.offers + (told[len(told) // 2] if told else self.offers)
-        each = COLD_SAFETY * s.fall_multiple * s.cold_from * takes / s.proxies
-        return int(1e6 / each) if each > 0.0 else 2 * s.warm_us
+        each = COLD_SAFETY * s.collapse_multiple * s.cold_start_share * takes / s.controllers
+        return int(1e6 / each) if each > 0.0 else 2 * s.warm_up_us
 
     def _log(self, text: str) -> None:
         self.actions.append(i.Log(text))
@@ -736,9 +736,9 @@
         need(c.width > 0, f"classes[{k}].width", c.width)
         need(c.holding_us > 0, f"classes[{k}].holding_us", c.holding_us)
         need(c.value >= 0, f"classes[{k}].value", c.value)
-    for name in ("proxies", "max_attempts", "warm_us", "fall_us"):
+    for name in ("controllers", "max_attempts", "warm_up_us", "collapse_us"):
         need(getattr(s, name) > 0, name, getattr(s, name))
-    for name in ("release_us", "drain_grace_us", "ask_within_us", "max_stay_away_us", "resend_us"):
+    for name in ("release_us", "drain_grace_us", "ask_within_us", "max_retry_after_us", "resend_us"):
         need(getattr(s, name) >= 0, name, getattr(s, name))
-    need(0 < s.cold_from <= 1, "cold_from", s.cold_from)
-    need(s.fall_multiple > 0, "fall_multiple", s.fall_multiple)
+    need(0 < s.cold_start_share <= 1, "cold_start_share", s.cold_start_share)
+    need(s.collapse_multiple > 0, "collapse_multiple", s.collapse_multiple)
--- a/latchturn/checking/scopes.py
+++ b/latchturn/checking/scopes.py
@@ -14,9 +14,9 @@
 SECOND = 1_000_000
 SETTINGS = i.Settings(
     classes=(i.CallClass("premium-quote", 1.0, 0.1, 600_000, 900_000, 1, 3 * SECOND),),
-    shape=i.Shape.MESH, own_number=0, proxies=2, max_attempts=4, release_us=120_000, drain_grace_us=50_000,
-    cold_from=0.29, warm_us=400_000, fall_multiple=2.5, fall_us=200_000, connect_timeout_us=100_000,
-    list_on_request=False, ask_within_us=0, max_stay_away_us=200_000, resend_us=0, tenants=("acme",),
+    topology=i.Topology.MESH, own_number=0, controllers=2, max_attempts=4, release_us=120_000, drain_grace_us=50_000,
+    cold_start_share=0.29, warm_up_us=400_000, collapse_multiple=2.5, collapse_us=200_000, connect_timeout_us=100_000,
+    list_on_request=False, ask_within_us=0, max_retry_after_us=200_000, resend_us=0, tenants=("acme",),
 )  # fmt: skip
 WAIT_MS = 900
 # What the settings become at SIGHUP, by the variant's name.
--- a/latchturn/interface.py
+++ b/latchturn/interface.py
@@ -10,7 +10,7 @@
 from enum import Enum, IntEnum
 
 
-class Shape(IntEnum):
+class Topology(IntEnum):
     """How exchanges are joined."""
 
     MESH = 0  # trunk groups between exchanges, calls may go over one tandem
@@ -78,22 +78,22 @@
     """What a controller is told at its start, and with `SettingsChanged`."""
 
     classes: tuple[CallClass, ...]
-    shape: Shape
+    topology: Topology
     own_number: int  # number of the own exchange, -1 with pools
-    proxies: int  # how many proxies there are in all
+    controllers: int  # how many proxies there are in all
     max_attempts: int
     release_us: int
     drain_grace_us: int
-    cold_from: float
-    warm_us: int
-    fall_multiple: float
-    fall_us: int
+    cold_start_share: float
+    warm_up_us: int
+    collapse_multiple: float
+    collapse_us: int
     connect_timeout_us: int
     list_on_request: bool
     ask_within_us: int
-    max_stay_away_us: int  # 0: callers are not told when to come back
+    max_retry_after_us: int  # 0: callers are not told when to come back
     resend_us: int
-    late_price: float = 0.0  # what worth left unserved after its aim costs
+    late_penalty: float = 0.0  # what worth left unserved after its aim costs
     tenants: tuple[str, ...] = ()  # names; none where there are no tenants
 
 
@@ -240,7 +240,7 @@
     """Action: final answer, turned away (or transit turned back)."""
 
     call: int
-    stay_away_us: int
+    retry_after_us: int
     reason: FinalReason = field(default=FinalReason.UNKNOWN, compare=False)
 
 
--- a/latchturn/session/callers.py
+++ b/latchturn/session/callers.py
@@ -62,7 +62,7 @@
             )
             self.classes.count("declined", message.class_name)
             self.calls.remember_answered(message.call)
-            stay_ms = self.classes.settings.max_stay_away_us // 1000
+            stay_ms = self.classes.settings.max_retry_after_us // 1000
             self.writing.queue(caller, Release(message.call, ReleaseCause.CONGESTION, stay_away_ms=stay_ms))
         elif self.core.now >= self.phases.refuse_us:
             # Guards the drain's end against a connection that is never idle.
--- a/latchturn/session/exchanges.py
+++ b/latchturn/session/exchanges.py
@@ -109,7 +109,7 @@
                 self.attempts.end(attempt, i.Outcome.NOT_SENT)
 
     def usable(self, exchange: Exchange) -> bool:
-        own = self.classes.settings.shape is i.Shape.MESH and exchange.number == self.classes.settings.own_number
+        own = self.classes.settings.topology is i.Topology.MESH and exchange.number == self.classes.settings.own_number
         return exchange.state is not i.ListState.GONE and not own
 
     def release(self, exchange: Exchange, release: Release) -> None:
--- a/latchturn/session/module.py
+++ b/latchturn/session/module.py
@@ -22,7 +22,7 @@
                 self.attempts.begin(action)
             elif isinstance(action, i.Refuse):
                 self.note_final(TraceEvent.CALL_REFUSED, action)
-                stay_ms = -(-action.stay_away_us // 1000)
+                stay_ms = -(-action.retry_after_us // 1000)
                 self.calls.final(action.call, Release(action.call, ReleaseCause.CONGESTION, stay_away_ms=stay_ms))
             elif isinstance(action, i.GiveUp):
                 self.note_final(TraceEvent.CALL_FAILED, action)
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -59,10 +59,10 @@
     [
         ("family-info.release-us=300000\n", "", "family-info.release-us"),
         ("instances=4\n", "instances=many\n", "instances"),
-        ("rules.cold-from=0.31\n", "rules.cold-from=0\n", "cold_from"),
+        ("rules.cold-from=0.31\n", "rules.cold-from=0\n", "cold_start_share"),
         ("grades.1.objective-us=1500000\n", "", "grades.1.objective-us"),
         ("rules.fall-us=1000000\n", "rules.fall-us=inf\n", "rules.fall-us"),
-        ("rules.fall-multiple=3.0\n", "rules.fall-multiple=nan\n", "fall_multiple"),
+        ("rules.fall-multiple=3.0\n", "rules.fall-multiple=nan\n", "collapse_multiple"),
     ],
 )
 def test_a_missing_or_unreadable_setting_is_a_fault_that_names_it(line: str, instead: str, key: str) -> None:
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -159,7 +159,7 @@
 
 @pytest.mark.parametrize(
     ("field", "value"),
-    [("proxies", 0), ("release_us", -1), ("cold_from", 0.0), ("classes", ()), ("fall_us", 0)],
+    [("controllers", 0), ("release_us", -1), ("cold_start_share", 0.0), ("classes", ()), ("collapse_us", 0)],
 )
 def test_wrong_settings_name_the_field_and_the_value(field: str, value: object) -> None:
     with pytest.raises(ValueError, match=field):
@@ -168,7 +168,7 @@
 
 def test_pools_use_a_pool_with_the_skill_as_second_choice() -> None:
     classes = (i.CallClass("a", 1.0, 0.2, SECOND, 9 * SECOND, 1, 9 * SECOND, pools=(1, 3)),)
-    bench = Bench(changed(shape=i.Shape.POOLS, own_number=-1, classes=classes))
+    bench = Bench(changed(topology=i.Topology.POOLS, own_number=-1, classes=classes))
     bench.told(1, 0)
     bench.told(2, 40)
     bench.told(3, 30)
@@ -394,11 +394,11 @@
             bench.now += first_us
             _, actions = bench.offer(1, called=77)
         (refusal,) = [a for a in actions if isinstance(a, i.Refuse)]
-        return refusal.stay_away_us
+        return refusal.retry_after_us
 
     # 40 circuits held for 10 s each: one comes free every 250 ms. Past its aim a call can wait longer.
     assert told_stay(0, 2 * SECOND, 0) == 250_000
-    assert told_stay(0, 2 * SECOND, SECOND) == SETTINGS.max_stay_away_us
+    assert told_stay(0, 2 * SECOND, SECOND) == SETTINGS.max_retry_after_us
 
 
 def test_a_group_found_full_costs_a_call_one_attempt() -> None:
@@ -414,7 +414,7 @@
     bench = Bench()
     call, _ = bench.offer(1)
     (refusal,) = bench.ended(call, 1, i.Outcome.NOT_SENT, i.Cause.PROCESSOR_FULL)
-    assert refusal == i.Refuse(call, SETTINGS.max_stay_away_us)
+    assert refusal == i.Refuse(call, SETTINGS.max_retry_after_us)
 
 
 def test_a_caller_whose_attempts_failed_by_chance_is_told_to_come_back_soon() -> None:
@@ -424,7 +424,7 @@
     for _ in range(4):
         actions = bench.ended(call, 1, i.Outcome.NO_LINE)
     (refusal,) = [a for a in actions if isinstance(a, i.Refuse)]
-    assert 0 < refusal.stay_away_us <= bench.controller.shortest_target_us // 10
+    assert 0 < refusal.retry_after_us <= bench.controller.shortest_target_us // 10
 
 
 def test_an_exchange_that_has_gone_is_forgotten_and_its_calls_still_end() -> None:
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -27,14 +27,14 @@
 class Watched(Bench):
     """Checks every action against the rules as it comes."""
 
-    def __init__(self, proxies: int) -> None:
+    def __init__(self, controllers: int) -> None:
         self.out: dict[int, int] = {}  # call -> exchange of its attempt
         self.owed: dict[int, int] = {}  # call -> deadline
         self.standing: dict[int, int] = {}
         self.not_before: dict[int, int] = {}
         self.gone: set[int] = set()
         self.left: set[int] = set()
-        super().__init__(changed(proxies=proxies), far=6)
+        super().__init__(changed(controllers=controllers), far=6)
 
     def do(self, event: i.Event) -> list[i.Action]:
         actions = super().do(event)
@@ -69,9 +69,9 @@
 
 @settings(max_examples=25, deadline=None, derandomize=True)
 @given(st.integers(0, 10**6), st.sampled_from((1, 8, 60, 500)))
-def test_random_events_keep_the_rules_and_leave_nothing_over(seed: int, proxies: int) -> None:
+def test_random_events_keep_the_rules_and_leave_nothing_over(seed: int, controllers: int) -> None:
     chance = random.Random(seed)
-    bench = Watched(proxies)
+    bench = Watched(controllers)
     for _ in range(400):
         roll = chance.random()
         if roll < 0.45:
@@ -125,9 +125,9 @@
         assert far.group.spare == far.group.size - sum(far.group.low)
 
 
-@pytest.mark.parametrize("proxies", [1, 500])
-def test_many_exchanges_replaced_at_once_are_served_again(proxies: int) -> None:
-    bench = Bench(changed(proxies=proxies), far=60)
+@pytest.mark.parametrize("controllers", [1, 500])
+def test_many_exchanges_replaced_at_once_are_served_again(controllers: int) -> None:
+    bench = Bench(changed(controllers=controllers), far=60)
     fresh = [i.ListEntry(500 + n, n, i.ListState.READY, 0) for n in range(61)]
     bench.list(i.ListKind.FULL, *fresh)
     for n in range(1, 61):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -127,14 +127,14 @@
     times = cold_sends(bench, 10)
     s = SETTINGS
     takes = 20.0 + 2 * 10.0  # what warm exchanges say they can take, and the calls carried out and in
-    budget = s.fall_multiple * s.cold_from * takes * s.fall_us / SECOND
+    budget = s.collapse_multiple * s.cold_start_share * takes * s.collapse_us / SECOND
     assert times
     for t in times:
-        assert s.proxies * sum(1 for u in times if t <= u < t + s.fall_us) <= budget
+        assert s.controllers * sum(1 for u in times if t <= u < t + s.collapse_us) <= budget
 
 
 def test_rule_4_budget_without_any_report_comes_from_the_own_calls() -> None:
-    bench = Bench(changed(proxies=2))
+    bench = Bench(changed(controllers=2))
     for _ in range(40):
         call, _ = bench.offer(2)
         bench.stands(call, 2)
@@ -149,7 +149,7 @@
     bench.list(i.ListKind.CHANGES, entry(1, started=bench.now))
     sent = [sends(bench.offer(1)[1]) for _ in range(4)]
     assert sent.count([1]) < 4
-    bench.pass_time(SETTINGS.warm_us + SECOND)
+    bench.pass_time(SETTINGS.warm_up_us + SECOND)
     assert sends(bench.offer(1)[1]) == [1]
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,7 +21,7 @@
 
     def __init__(self, seed: int, now: int, reports: bool) -> None:
         self.sent: list[tuple[int, int]] = []
-        super().__init__(changed(proxies=PROXIES, own_number=100 + seed % PROXIES), far=25)
+        super().__init__(changed(controllers=PROXIES, own_number=100 + seed % PROXIES), far=25)
         self.controller.random.seed(seed)
         self.now = now
         if reports:
@@ -50,7 +50,7 @@
                 proxy.offer(21)
                 proxy.pass_time(SECOND // 10)
         start = proxy.now
-        end = start + proxy.controller.settings.warm_us
+        end = start + proxy.controller.settings.warm_up_us
         proxy.pass_time(chance.randrange(told_within_us + 1))
         told = proxy.now  # what goes out before is no fault of this proxy
         proxy.list(i.ListKind.CHANGES, *[entry(number, started=start) for number in COLD])
@@ -78,25 +78,25 @@
 def test_rule_4_sixty_proxies_do_not_push_twenty_cold_exchanges_over(
     reports: bool, told_within_us: int, restart: bool
 ) -> None:
-    settings = changed(proxies=PROXIES)
+    settings = changed(controllers=PROXIES)
     sent = network(reports, told_within_us, restart)
     takes = CARRIED + (MORE if reports else CARRIED / 2)
-    budget = settings.fall_multiple * settings.cold_from * takes * settings.fall_us / SECOND
+    budget = settings.collapse_multiple * settings.cold_start_share * takes * settings.collapse_us / SECOND
     for times in sent.values():
-        assert len(times) >= settings.warm_us / settings.fall_us * budget / 5  # cold exchanges are used
-        most = max(sum(1 for u in times if t <= u < t + settings.fall_us) for t in times)
+        assert len(times) >= settings.warm_up_us / settings.collapse_us * budget / 5  # cold exchanges are used
+        most = max(sum(1 for u in times if t <= u < t + settings.collapse_us) for t in times)
         assert most <= 1.5 * budget  # calls come by chance, within the turns
 
 
 def test_rule_4_hundreds_of_proxies_send_less_each() -> None:
-    few, many = Bench(changed(proxies=10)), Bench(changed(proxies=500))
+    few, many = Bench(changed(controllers=10)), Bench(changed(controllers=500))
     gaps = []
     for bench in (few, many):
         bench.told(2, 40, setups_per_s=MORE)
         gaps.append(bench.controller._cold_gap())
     assert gaps[1] == pytest.approx(50 * gaps[0], rel=0.01)
     settings = many.controller.settings
-    assert 500 * SECOND / gaps[1] <= settings.fall_multiple * settings.cold_from * MORE
+    assert 500 * SECOND / gaps[1] <= settings.collapse_multiple * settings.cold_start_share * MORE
 
 
 def test_callers_with_little_time_are_tried_where_set_ups_are_quick() -> None:
@@ -154,13 +154,13 @@
 
 def test_all_proxies_together_try_a_busy_number_no_more_often_than_a_few_do() -> None:
     tries = []
-    for proxies in (4, PROXIES):
-        bench, sent = Bench(changed(proxies=proxies), far=1), 0
+    for controllers in (4, PROXIES):
+        bench, sent = Bench(changed(controllers=controllers), far=1), 0
         for _ in range(600):
             _, actions = bench.offer(1, called=77)
             for action in [a for a in actions if isinstance(a, i.SendSetup)]:
                 sent += 1
                 bench.ended(action.call, 1, i.Outcome.NO_LINE, i.Cause.NUMBER_BUSY)
             bench.pass_time(100_000)
-        tries.append(proxies * sent)
+        tries.append(controllers * sent)
     assert tries[1] <= 2 * tries[0]
