--- a/bench/reducer.py
+++ b/bench/reducer.py
@@ -44,8 +44,8 @@
     return i.Settings(
         classes=classes, topology=i.Topology.MESH, own_number=0, controllers=7, max_attempts=4, release_us=300_000,
         drain_grace_us=2_000_000, cold_start_share=0.29, warm_up_us=15_000_000, collapse_multiple=2.5,
-        collapse_us=2_000_000, connect_timeout_us=500_000, list_on_request=False, ask_within_us=0, max_retry_after_us=2_000_000,
-        resend_us=0,
+        collapse_us=2_000_000, connect_timeout_us=500_000, list_on_request=False, ask_within_us=0,
+        max_retry_after_us=2_000_000, resend_us=0,
     )  # fmt: skip
 
 
--- a/latchturn/benchlink.py
+++ b/latchturn/benchlink.py
@@ -42,19 +42,19 @@
     444: i.Outcome.CANCELLED,
     409: i.Outcome.NOT_SENT,
 }
-CAUSES = {1: i.Cause.NO_CIRCUIT, 2: i.Cause.TURNED_BACK, 3: i.Cause.PROCESSOR_FULL, 4: i.Cause.NUMBER_BUSY}
+CAUSES = {1: i.Cause.NO_CIRCUIT, 2: i.Cause.REFUSED_BY_TANDEM, 3: i.Cause.PROCESSOR_FULL, 4: i.Cause.NUMBER_BUSY}
 REPORT_FIELDS = {
     "spare": "free",
     "total": "size",
     "allowed": "setups_per_s",
-    "cut_by": "hold_back",
+    "cut_by": "throttle_share",
     "svc_ms": "wait_us",
     "cpu_share": "busy_share",
-    "pending": "in_line",
+    "pending": "queue_length",
 }
 
 
-MOST_FIGURES = {"free": 1e6, "size": 1e6, "setups_per_s": 1e6, "hold_back": 1.0, "busy_share": 1.0}
+MOST_FIGURES = {"free": 1e6, "size": 1e6, "setups_per_s": 1e6, "throttle_share": 1.0, "busy_share": 1.0}
 
 
 class WireError(Exception):
@@ -172,9 +172,9 @@
     return settings, fields
 
 
-def read_report(figures: Iterable[tuple[str | None, float]]) -> i.Report:
+def read_report(figures: Iterable[tuple[str | None, float]]) -> i.LoadReport:
     """A load report from figures by their field; those unknown, absent or out of reason are left out."""
-    report = i.Report()
+    report = i.LoadReport()
     for name, value in figures:
         if name is None or not 0.0 <= value <= MOST_FIGURES.get(name, 1e12):
             continue
@@ -198,7 +198,7 @@
         self.controller = controller
         self.fields = fields
 
-    def report(self, n: int, values: tuple[float, ...]) -> i.Report | None:
+    def report(self, n: int, values: tuple[float, ...]) -> i.LoadReport | None:
         return read_report(zip(self.fields[:n], values)) if n else None
 
 
@@ -290,18 +290,18 @@
                 raise WireError(f"unknown outcome {verdict}")
             cause = CAUSES.get(clear & 15, i.Cause.NONE)
             wait = 0
-            if cause is i.Cause.TURNED_BACK and clear > 15:
-                cause = i.Cause.FAR_PROCESSOR_FULL
+            if cause is i.Cause.REFUSED_BY_TANDEM and clear > 15:
+                cause = i.Cause.DESTINATION_PROCESSOR_FULL
             elif cause is i.Cause.PROCESSOR_FULL:
                 wait = (clear >> 4) * 1000
             report = instance.report(fields, tuple(values))
             return i.AttemptEnded(call, n, exchange, outcome, took, bool(no_more), cause, wait, report)
         if code == 8:
             _, call, n, took, exchange = STANDS.unpack_from(body, at)
-            return i.CallStands(call, n, exchange, took)
+            return i.CallAnswered(call, n, exchange, took)
         if code == 9:
             (_, took, exchange, verdict, fields, *values) = PROBED.unpack_from(body, at)
-            report = instance.report(fields, tuple(values)) or i.Report()
+            report = instance.report(fields, tuple(values)) or i.LoadReport()
             return i.ExchangeReport(exchange, verdict == 200, took > 0 or verdict != 200, took, report)
         if code == 6:
             return i.TimerDue(TWO.unpack_from(body, at)[1])
@@ -332,9 +332,9 @@
             out.append(ACT_TWO.pack(69, proxy, action.call, action.retry_after_us))
         elif isinstance(action, i.SetTimer):
             out.append(ACT_TWO.pack(65, proxy, action.delay_us, action.token))
-        elif isinstance(action, i.GiveUp):
+        elif isinstance(action, i.Fail):
             out.append(ACT_ONE.pack(72, proxy, action.call))
-        elif isinstance(action, i.Follow):
+        elif isinstance(action, i.SubscribeToList):
             out.append(ACT_FLAG.pack(70, proxy, 1))
         elif isinstance(action, i.Log):
             self.text(68, proxy, action.text, out, tail)
--- a/latchturn/brain.py
+++ b/latchturn/brain.py
@@ -124,7 +124,7 @@
         self.hold_until = 0  # no set-up before this (named waits, suspicion)
         self.silences = 0
         self.answered_us = 0
-        self.hold_back = 0.0
+        self.throttle_share = 0.0
         self.can_take = 0.0  # most set-ups a second that it ever reported
         self.turned_back: dict[int, tuple[int, int]] = {}  # destination number -> times in a row, until when
         self.reaches: set[int] = set()  # destinations to which a call over this tandem has stood
@@ -136,7 +136,7 @@
 
     def pressed(self) -> bool:
         """Whether its processor shows pressure, by its answers or by its reports."""
-        return self.window < TWO_LEG_WINDOW or self.hold_back >= HOLD_BACK_PRESSED or self.silences > 0
+        return self.window < TWO_LEG_WINDOW or self.throttle_share >= HOLD_BACK_PRESSED or self.silences > 0
 
 
 @dataclass(slots=True)
@@ -204,12 +204,12 @@
         if not self.started:
             self.started = True
             if self.settings.list_on_request:
-                self.actions.append(i.Follow())
+                self.actions.append(i.SubscribeToList())
         if isinstance(event, i.CallOffered):
             self._offered(event)
         elif isinstance(event, i.AttemptEnded):
             self._ended(event)
-        elif isinstance(event, i.CallStands):
+        elif isinstance(event, i.CallAnswered):
             self._stands(event)
         elif isinstance(event, i.ExchangeReport):
             self._told(event)
@@ -298,7 +298,7 @@
             fade = min(1.0, gap / self.settings.warm_up_us)
             self.offers += fade * (1e6 / gap - self.offers)
             self.offers_us = self.now
-        if self._number_busy(offer.called):
+        if self._number_busy(offer.called_number):
             self._refuse(call, self.settings.max_retry_after_us, Reason.NUMBER_BUSY)
         elif not self._route(call):
             if offer.transit:
@@ -317,7 +317,7 @@
         if offer.transit:
             return self.now
         self.marked = self.marked or offer.redialled
-        first = self.failed.pop(offer.called, self.now)
+        first = self.failed.pop(offer.called_number, self.now)
         give_up = self.settings.classes[offer.class_index].give_up_us
         fresh = offer.cut_before or (self.marked and not offer.redialled)
         return self.now if fresh or self.now - first > give_up else first
@@ -325,8 +325,8 @@
     def _failed(self, call: Call) -> None:
         """Forget a call that did not stand, but for when its caller first tried."""
         del self.calls[call.offer.call]
-        if call.offer.called and not call.offer.transit:
-            _keep(self.failed, call.offer.called, call.first_us, CALLERS_KEPT)
+        if call.offer.called_number and not call.offer.transit:
+            _keep(self.failed, call.offer.called_number, call.first_us, CALLERS_KEPT)
 
     def _late(self, call: Call) -> bool:
         return self.now - call.first_us >= call.cls.target_us
@@ -502,14 +502,14 @@
         stay_away = min(stay_away, self.settings.max_retry_after_us)
         self.actions.append(i.Refuse(call.offer.call, stay_away, reason))
 
-    def _stands(self, event: i.CallStands) -> None:
+    def _stands(self, event: i.CallAnswered) -> None:
         call = self.calls.get(event.call)
         if call is None or not call.out or call.at is None:
             return
         call.out = False
         call.at.out -= 1
         self._answered(call, call.at)
-        self.busy.pop(call.offer.called, None)
+        self.busy.pop(call.offer.called_number, None)
         if call.two_leg:
             call.at.turned_back.pop(call.offer.destination, None)
             call.at.reaches.add(call.offer.destination)
@@ -563,7 +563,7 @@
         elif call.cls.at_most_once and outcome not in NEVER_RAN:
             # Guards against effects that come twice: its caller would try a refused call again.
             self._failed(call)
-            self.actions.append(i.GiveUp(event.call, Reason.MAY_HAVE_RUN))
+            self.actions.append(i.Fail(event.call, Reason.MAY_HAVE_RUN))
         elif cause is i.Cause.NUMBER_BUSY:
             self._refuse(call, self.settings.max_retry_after_us, Reason.NUMBER_BUSY)
         elif call.offer.transit:
@@ -573,7 +573,7 @@
             self._refuse(call, self.settings.max_retry_after_us, Reason.OWN_PROCESSOR_FULL)
         elif self._hopeless(call):
             self._failed(call)
-            self.actions.append(i.GiveUp(event.call, Reason.TOO_LITTLE_TIME))
+            self.actions.append(i.Fail(event.call, Reason.TOO_LITTLE_TIME))
         elif call.not_before > self.now or not self._route(call):
             self._wait(call)
         self._serve(at.number)
@@ -593,18 +593,18 @@
             if cause is i.Cause.PROCESSOR_FULL:
                 at.window = 1.0
                 at.hold_until = max(at.hold_until, self.now + max(event.wait_us, self.settings.release_us))
-            elif cause in (i.Cause.TURNED_BACK, i.Cause.FAR_PROCESSOR_FULL) and call.two_leg:
+            elif cause in (i.Cause.REFUSED_BY_TANDEM, i.Cause.DESTINATION_PROCESSOR_FULL) and call.two_leg:
                 self.backs += ANSWER_FADE * (1.0 - self.backs)
                 # Guards against tandems whose onward group stays full: their turn-backs feed processors.
                 times = at.turned_back.get(call.offer.destination, NEVER)[0]
                 pause = min(TURN_BACK_MOST, TURN_BACK_FIRST * 2 ** min(times, 20))
                 at.turned_back[call.offer.destination] = (times + 1, self.now + int(self.shortest_target_us * pause))
-            if cause is i.Cause.FAR_PROCESSOR_FULL:
+            if cause is i.Cause.DESTINATION_PROCESSOR_FULL:
                 target = self.by_number.get(call.offer.destination)
                 if target is not None:
                     self._shrink(target, call.sent_us)
-            if cause is i.Cause.NUMBER_BUSY and call.offer.called:
-                self._mark_busy(call.offer.called)
+            if cause is i.Cause.NUMBER_BUSY and call.offer.called_number:
+                self._mark_busy(call.offer.called_number)
 
     def _silent(self, at: Exchange) -> None:
         """Guards against hung and cut-off exchanges: silence spaces further set-ups out."""
@@ -616,16 +616,16 @@
             if at.silences == SILENCES:
                 self._log(f"exchange {at.number} is silent, tried sparingly")
 
-    def _mark_busy(self, called: int) -> None:
+    def _mark_busy(self, called_number: int) -> None:
         gap = self.shortest_target_us * BUSY_GAP * self.settings.controllers
-        _keep(self.busy, called, self.now + int(gap), NUMBERS_KEPT)
+        _keep(self.busy, called_number, self.now + int(gap), NUMBERS_KEPT)
 
-    def _number_busy(self, called: int) -> bool:
+    def _number_busy(self, called_number: int) -> bool:
         """Guards against a hot number: after 'all lines busy' one set-up in each gap may try it."""
-        until = self.busy.get(called)
+        until = self.busy.get(called_number)
         if until is None or self.now < until:
             return until is not None
-        self._mark_busy(called)
+        self._mark_busy(called_number)
         return False
 
     def _left(self, event: i.CallerLeft) -> None:
@@ -643,7 +643,7 @@
         if ident is None:
             return
         if ident == -1:
-            self.actions.append(i.Follow())
+            self.actions.append(i.SubscribeToList())
             return
         call = self.calls.get(ident)
         if call is None or not call.waiting or self._route(call):
@@ -665,14 +665,14 @@
             self._report(far, event.report)
             self._serve(far.number)
 
-    def _report(self, far: Exchange, report: i.Report) -> None:
+    def _report(self, far: Exchange, report: i.LoadReport) -> None:
         group = far.group
         if report.size is not None and (report.size != group.size or not group.told):
             group.resize(report.size)
         if report.free is not None:
             group.told_free = report.free
-        if report.hold_back is not None:
-            far.hold_back = report.hold_back
+        if report.throttle_share is not None:
+            far.throttle_share = report.throttle_share
         if report.setups_per_s is not None:
             far.can_take = max(far.can_take, report.setups_per_s)
 
--- a/latchturn/interface.py
+++ b/latchturn/interface.py
@@ -52,10 +52,10 @@
 
     NONE = 0
     NO_CIRCUIT = 1
-    TURNED_BACK = 2  # by the tandem
+    REFUSED_BY_TANDEM = 2  # by the tandem
     PROCESSOR_FULL = 3
     NUMBER_BUSY = 4
-    FAR_PROCESSOR_FULL = 5  # turned back, the processor beyond the tandem was full
+    DESTINATION_PROCESSOR_FULL = 5  # turned back, the processor beyond the tandem was full
 
 
 @dataclass(slots=True, frozen=True)
@@ -98,16 +98,16 @@
 
 
 @dataclass(slots=True)
-class Report:
+class LoadReport:
     """A load report; absent figures are None."""
 
     free: int | None = None
     size: int | None = None
     setups_per_s: float | None = None  # new set-ups it can take from all senders
-    hold_back: float | None = None  # share of new set-ups it asks each sender to hold back
+    throttle_share: float | None = None  # share of new set-ups it asks each sender to hold back
     wait_us: int | None = None
     busy_share: float | None = None
-    in_line: float | None = None
+    queue_length: float | None = None
 
 
 @dataclass(slots=True)
@@ -135,17 +135,17 @@
     call: int
     class_index: int
     destination: int
-    called: int  # stands for the called number, 0: unknown
+    called_number: int  # stands for the called number, 0: unknown
     width: int
     deadline_us: int
     transit: bool = False
     redialled: bool = False
     cut_before: bool = False
-    advised: int = -1  # number of the advised tandem, or where a transit call comes from
+    via: int = -1  # number of the advised tandem, or where a transit call comes from
 
 
 @dataclass(slots=True)
-class CallStands:
+class CallAnswered:
     """Event: an attempt was set up and the call is through."""
 
     call: int
@@ -166,7 +166,7 @@
     concluded: bool
     cause: Cause = Cause.NONE
     wait_us: int = 0
-    report: Report | None = None
+    report: LoadReport | None = None
 
 
 @dataclass(slots=True)
@@ -182,9 +182,9 @@
 
     exchange: int
     answered: bool
-    asked: bool
+    probed: bool
     elapsed_us: int
-    report: Report
+    report: LoadReport
 
 
 @dataclass(slots=True)
@@ -202,7 +202,7 @@
 
 
 Event = (
-    ExchangeList | CallOffered | CallStands | AttemptEnded | CallerLeft | ExchangeReport | TimerDue
+    ExchangeList | CallOffered | CallAnswered | AttemptEnded | CallerLeft | ExchangeReport | TimerDue
     | SettingsChanged
 )  # fmt: skip
 
@@ -245,7 +245,7 @@
 
 
 @dataclass(slots=True)
-class GiveUp:
+class Fail:
     """Action: final answer, failed."""
 
     call: int
@@ -261,7 +261,7 @@
 
 
 @dataclass(slots=True)
-class Follow:
+class SubscribeToList:
     """Action: subscribe to changes of the exchange list."""
 
 
@@ -272,4 +272,4 @@
     text: str
 
 
-Action = SendSetup | Refuse | GiveUp | SetTimer | Follow | Log
+Action = SendSetup | Refuse | Fail | SetTimer | SubscribeToList | Log
--- a/latchturn/session/attempts.py
+++ b/latchturn/session/attempts.py
@@ -78,7 +78,7 @@
         outcome: i.Outcome,
         concluded: bool = False,
         cause: i.Cause = i.Cause.NONE,
-        report: i.Report | None = None,
+        report: i.LoadReport | None = None,
     ) -> None:
         """It came to nothing: the module hears how."""
         call = attempt.call
--- a/latchturn/session/calls.py
+++ b/latchturn/session/calls.py
@@ -38,12 +38,12 @@
                 call=set_up.call,
                 class_index=self.classes.by_name[settings_word(set_up.class_name)],
                 destination=figures["dest"],
-                called=int(set_up.called, 16),
+                called_number=int(set_up.called, 16),
                 width=figures["width"],
                 deadline_us=deadline,
                 transit=figures.get("transit", 0) == 1,
                 cut_before=figures.get("again", 0) == 1,
-                advised=figures.get("via", -1),
+                via=figures.get("via", -1),
             )
         )
 
@@ -116,7 +116,7 @@
         if ident and len(self.over) < OVER_MOST:
             self.remember_ended(ident, False, True)
 
-    def end_standing(self, call: Call, outcome: i.Outcome, report: i.Report | None = None) -> None:
+    def end_standing(self, call: Call, outcome: i.Outcome, report: i.LoadReport | None = None) -> None:
         """A call that stood is over."""
         at = call.stands_at
         assert at is not None
--- a/latchturn/session/exchanges.py
+++ b/latchturn/session/exchanges.py
@@ -27,8 +27,8 @@
 
 NOTES = {
     "no_circuit": i.Cause.NO_CIRCUIT,
-    "turned_back": i.Cause.TURNED_BACK,
-    "far_overload": i.Cause.FAR_PROCESSOR_FULL,
+    "turned_back": i.Cause.REFUSED_BY_TANDEM,
+    "far_overload": i.Cause.DESTINATION_PROCESSOR_FULL,
     "overload": i.Cause.PROCESSOR_FULL,
     "lines_busy": i.Cause.NUMBER_BUSY,
 }
@@ -208,7 +208,7 @@
         self.calls.release_unsure(call)
         exchange.standing.add(call.ident)
         self.core.events.append(
-            i.CallStands(call.ident, attempt.number, exchange.ident, self.core.now - attempt.started_us)
+            i.CallAnswered(call.ident, attempt.number, exchange.ident, self.core.now - attempt.started_us)
         )
         if answer.report is not None:
             self.tell_report(exchange, answer.report)
@@ -249,5 +249,5 @@
                 self.end_notices.send(0, Release(release.call, release.cause))
 
 
-def _report(figures: Mapping[str, float]) -> i.Report:
+def _report(figures: Mapping[str, float]) -> i.LoadReport:
     return read_report((REPORT_FIELDS.get(name), value) for name, value in figures.items())
--- a/latchturn/session/module.py
+++ b/latchturn/session/module.py
@@ -24,16 +24,16 @@
                 self.note_final(TraceEvent.CALL_REFUSED, action)
                 stay_ms = -(-action.retry_after_us // 1000)
                 self.calls.final(action.call, Release(action.call, ReleaseCause.CONGESTION, stay_away_ms=stay_ms))
-            elif isinstance(action, i.GiveUp):
+            elif isinstance(action, i.Fail):
                 self.note_final(TraceEvent.CALL_FAILED, action)
                 self.calls.final(action.call, Release(action.call, ReleaseCause.TEMPORARY_FAILURE))
             elif isinstance(action, i.SetTimer):
                 self.timers.set(action.delay_us, TimerKind.MODULE, action.token)
             elif isinstance(action, i.Log):
                 self.core.log(action.text)
-            # Follow asks for nothing: the command channel is always followed.
+            # SubscribeToList asks for nothing: the command channel is always followed.
 
-    def note_final(self, event: TraceEvent, action: i.Refuse | i.GiveUp) -> None:
+    def note_final(self, event: TraceEvent, action: i.Refuse | i.Fail) -> None:
         """Record and count why the module turns a call down."""
         self.core.counters[f"{event.name.lower()}.{action.reason.name.lower()}"] += 1
         self.core.note(event, call=action.call, reason=action.reason.value)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -95,14 +95,14 @@
         return self.do(i.ExchangeList(kind, list(entries)))
 
     def told(self, number: int, free: int, size: int = 40, **figures: float) -> list[i.Action]:
-        report = i.Report(free=free, size=size, **figures)  # type: ignore[arg-type]
+        report = i.LoadReport(free=free, size=size, **figures)  # type: ignore[arg-type]
         return self.do(i.ExchangeReport(100 + number, True, False, 0, report))
 
-    def offer(self, to: int, cls: int = 0, called: int = 0, **more: object) -> tuple[int, list[i.Action]]:
+    def offer(self, to: int, cls: int = 0, called_number: int = 0, **more: object) -> tuple[int, list[i.Action]]:
         call, self.next_call = self.next_call, self.next_call + 1
         width = self.controller.settings.classes[cls].width
         deadline = more.pop("deadline_us", self.now + 3 * SECOND)
-        offer = i.CallOffered(call, cls, to, called, width, deadline, **more)  # type: ignore[arg-type]
+        offer = i.CallOffered(call, cls, to, called_number, width, deadline, **more)  # type: ignore[arg-type]
         return call, self.do(offer)
 
     def ended(
@@ -118,7 +118,7 @@
         return self.do(i.AttemptEnded(call, attempt, 100 + number, outcome, 0, concluded, cause, **more))
 
     def stands(self, call: int, number: int) -> list[i.Action]:
-        return self.do(i.CallStands(call, self.attempts[call], 100 + number, 0))
+        return self.do(i.CallAnswered(call, self.attempts[call], 100 + number, 0))
 
 
 def sends(actions: list[i.Action]) -> list[int]:
@@ -128,7 +128,7 @@
 
 def finals(actions: list[i.Action]) -> list[int]:
     """Calls that got their final answer."""
-    return [a.call for a in actions if isinstance(a, i.Refuse | i.GiveUp)]
+    return [a.call for a in actions if isinstance(a, i.Refuse | i.Fail)]
 
 
 # --- the real program's settings, a reducer on a made-up clock, and a program among real sockets ---
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -49,28 +49,28 @@
 
 def test_busy_number_is_spaced_out_and_freed_by_a_call_that_stands() -> None:
     bench = Bench()
-    call, _ = bench.offer(1, called=77)
+    call, _ = bench.offer(1, called_number=77)
     bench.ended(call, 1, i.Outcome.NO_LINE, i.Cause.NUMBER_BUSY)
-    call, actions = bench.offer(1, called=77)
+    call, actions = bench.offer(1, called_number=77)
     assert finals(actions) == [call] and not sends(actions)
-    assert sends(bench.offer(1, called=78)[1]) == [1]
+    assert sends(bench.offer(1, called_number=78)[1]) == [1]
     bench.pass_time(SECOND)
-    call, actions = bench.offer(1, called=77)
+    call, actions = bench.offer(1, called_number=77)
     assert sends(actions) == [1]
     bench.stands(call, 1)
-    assert sends(bench.offer(1, called=77)[1]) == [1]
+    assert sends(bench.offer(1, called_number=77)[1]) == [1]
 
 
 def test_no_two_leg_call_over_or_towards_a_pressed_processor() -> None:
     bench = Bench()
     bench.told(1, 0)
-    bench.told(2, 40, hold_back=0.5)
+    bench.told(2, 40, throttle_share=0.5)
     bench.told(3, 10)
     assert sends(bench.offer(1)[1]) != [2]
     bench = Bench()
-    bench.told(1, 0, hold_back=0.5)
+    bench.told(1, 0, throttle_share=0.5)
     assert sends(bench.offer(1)[1]) == []
-    bench.told(1, 0, hold_back=0.0)
+    bench.told(1, 0, throttle_share=0.0)
     assert sends(bench.offer(1)[1]) in ([2], [3])
 
 
@@ -97,7 +97,7 @@
     bench.told(3, 38)
     call, actions = bench.offer(1)
     assert sends(actions) == [2]
-    assert sends(bench.ended(call, 2, i.Outcome.TURNED_AWAY, i.Cause.TURNED_BACK)) == [3]
+    assert sends(bench.ended(call, 2, i.Outcome.TURNED_AWAY, i.Cause.REFUSED_BY_TANDEM)) == [3]
     bench.told(2, 40)
     assert sends(bench.offer(1)[1]) == [3]
 
@@ -106,15 +106,15 @@
     bench = Bench()
     for k in (1, 2, 3):
         bench.told(k, 0)
-    bench.offer(1, called=5)
+    bench.offer(1, called_number=5)
     bench.pass_time(3 * SECOND)
     bench.told(1, 4)
     bench.told(2, 40)
-    call, actions = bench.offer(1, called=5)
+    call, actions = bench.offer(1, called_number=5)
     assert finals(actions) == [call] and not sends(actions)
-    assert sends(bench.offer(1, called=6)[1]) == [1]
+    assert sends(bench.offer(1, called_number=6)[1]) == [1]
     bench.told(1, 30)
-    assert sends(bench.offer(1, called=5)[1]) == [1]
+    assert sends(bench.offer(1, called_number=5)[1]) == [1]
 
 
 def test_waiting_calls_go_by_worth_for_their_circuits() -> None:
@@ -147,7 +147,7 @@
     assert bench.stands(99, 1) == []
     assert bench.do(i.CallerLeft(99)) == []
     assert bench.do(i.TimerDue(12345)) == []
-    assert bench.do(i.ExchangeReport(999, True, False, 0, i.Report(free=1, size=2))) == []
+    assert bench.do(i.ExchangeReport(999, True, False, 0, i.LoadReport(free=1, size=2))) == []
     call, _ = bench.offer(1)
     bench.stands(call, 1)
     assert bench.stands(call, 1) == []
@@ -196,7 +196,7 @@
     for _ in range(3):
         call, actions = bench.offer(1)
         assert sends(actions) == [2]
-        bench.ended(call, 2, i.Outcome.TURNED_AWAY, i.Cause.TURNED_BACK)
+        bench.ended(call, 2, i.Outcome.TURNED_AWAY, i.Cause.REFUSED_BY_TANDEM)
         bench.pass_time(3 * SECOND)
         bench.told(2, 40)
         begin = bench.now
@@ -245,7 +245,7 @@
     bench = Bench()
     call, _ = bench.offer(1)
     assert sends(bench.ended(call, 1, i.Outcome.NO_LINE)) == [1]
-    busy, _ = bench.offer(1, called=9)
+    busy, _ = bench.offer(1, called_number=9)
     assert finals(bench.ended(busy, 1, i.Outcome.NO_LINE, i.Cause.NUMBER_BUSY)) == [busy]
 
 
@@ -291,9 +291,9 @@
 
 def test_list_on_request_is_followed_again_after_a_failure() -> None:
     bench = Bench(changed(list_on_request=True))
-    assert isinstance(bench.log[0], i.Follow)
-    assert not [a for a in bench.list(i.ListKind.FAILED) if isinstance(a, i.Follow)]
-    assert [a for a in bench.pass_time(2 * SECOND) if isinstance(a, i.Follow)]
+    assert isinstance(bench.log[0], i.SubscribeToList)
+    assert not [a for a in bench.list(i.ListKind.FAILED) if isinstance(a, i.SubscribeToList)]
+    assert [a for a in bench.pass_time(2 * SECOND) if isinstance(a, i.SubscribeToList)]
 
 
 def test_same_seed_and_events_give_the_same_actions() -> None:
@@ -301,7 +301,7 @@
     for _ in range(2):
         bench = Bench()
         for k in range(60):
-            call, actions = bench.offer(1 + k % 3, cls=k % 3, called=k % 7)
+            call, actions = bench.offer(1 + k % 3, cls=k % 3, called_number=k % 7)
             for to in sends(actions):
                 outcome = list(i.Outcome)[k % 8]
                 bench.ended(call, to, outcome, concluded=outcome is i.Outcome.RELEASED)
@@ -313,7 +313,7 @@
 def late(bench: Bench, **more: object) -> bool:
     """Whether a call to number 9 is taken for one past its aim: it leaves the last circuit free."""
     bench.told(1, 1)
-    call, actions = bench.offer(1, called=9, **more)
+    call, actions = bench.offer(1, called_number=9, **more)
     for sent in [a for a in actions if isinstance(a, i.SendSetup)]:
         bench.stands(sent.call, 1)
         bench.ended(sent.call, 1, i.Outcome.RELEASED, concluded=True)
@@ -322,7 +322,7 @@
 
 def failed_try(bench: Bench, **more: object) -> None:
     bench.told(1, 0)
-    bench.offer(1, called=9, **more)
+    bench.offer(1, called_number=9, **more)
     bench.pass_time(2 * SECOND)
 
 
@@ -331,7 +331,7 @@
     failed_try(bench)
     assert late(bench)
     bench = Bench(far=1)
-    bench.offer(1, called=9)
+    bench.offer(1, called_number=9)
     bench.stands(1, 1)
     bench.pass_time(2 * SECOND)
     assert not late(bench)
@@ -344,18 +344,18 @@
     assert not late(bench)  # another caller, in a network that marks redials
     bench = Bench(far=1)
     bench.told(1, 0)
-    bench.offer(1, called=9)
+    bench.offer(1, called_number=9)
     bench.pass_time(SECOND)
     assert not late(bench)  # the first caller's try is not over yet
 
 
 def test_rule_1_a_waiting_call_is_refused_long_before_its_deadline_for_a_proxy_that_stalls() -> None:
     bench = Bench(far=1)
-    bench.told(1, 0, hold_back=0.5)
-    first, _ = bench.offer(1, called=5)
+    bench.told(1, 0, throttle_share=0.5)
+    first, _ = bench.offer(1, called_number=5)
     assert finals(bench.pass_time(1_200_000)) == [first]  # with more than a second to spare
     bench.pass_time(SECOND)
-    again, actions = bench.offer(1, called=5)  # past its aim: not held at all
+    again, actions = bench.offer(1, called_number=5)  # past its aim: not held at all
     assert finals(actions) == [again]
 
 
@@ -388,11 +388,11 @@
 def test_a_refused_caller_is_told_when_circuits_come_free() -> None:
     def told_stay(free: int, waits_us: int, first_us: int) -> int:
         bench = Bench(far=1, free=free)
-        _, actions = bench.offer(1, called=77)
+        _, actions = bench.offer(1, called_number=77)
         actions += bench.pass_time(waits_us)
         if first_us:  # the caller dials again past its aim
             bench.now += first_us
-            _, actions = bench.offer(1, called=77)
+            _, actions = bench.offer(1, called_number=77)
         (refusal,) = [a for a in actions if isinstance(a, i.Refuse)]
         return refusal.retry_after_us
 
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -14,7 +14,7 @@
 from .helpers import SECOND, Bench, changed, entry
 
 ENDS = (
-    (i.Outcome.TURNED_AWAY, i.Cause.TURNED_BACK),
+    (i.Outcome.TURNED_AWAY, i.Cause.REFUSED_BY_TANDEM),
     (i.Outcome.TURNED_AWAY, i.Cause.PROCESSOR_FULL),
     (i.Outcome.NO_LINE, i.Cause.NUMBER_BUSY),
     (i.Outcome.NO_LINE, i.Cause.NONE),
@@ -45,7 +45,7 @@
                 assert action.exchange - 100 not in self.gone
                 assert 0 < action.timeout_us <= self.owed[action.call] - self.now
                 self.out[action.call] = action.exchange - 100
-            elif isinstance(action, i.Refuse | i.GiveUp):
+            elif isinstance(action, i.Refuse | i.Fail):
                 assert action.call not in self.out
                 assert self.now <= self.owed.pop(action.call)
         return actions
@@ -81,8 +81,8 @@
             bench.owed[call] = deadline
             width = bench.controller.settings.classes[cls].width
             transit, again = chance.random() < 0.2, chance.random() < 0.2
-            number, called = chance.randrange(1, 7), chance.randrange(20)
-            bench.do(i.CallOffered(call, cls, number, called, width, deadline, transit, again))
+            number, called_number = chance.randrange(1, 7), chance.randrange(20)
+            bench.do(i.CallOffered(call, cls, number, called_number, width, deadline, transit, again))
         elif roll < 0.75 and bench.out:
             bench.finish(chance.choice(sorted(bench.out)), chance)
         elif roll < 0.8 and bench.standing:
@@ -138,9 +138,9 @@
 
 def test_tables_stay_bounded() -> None:
     bench = Bench(far=2)
-    for called in range(1, CALLERS_KEPT + NUMBERS_KEPT + 100):
+    for called_number in range(1, CALLERS_KEPT + NUMBERS_KEPT + 100):
         bench.told(1, 40)
-        call, actions = bench.offer(1, called=called)
+        call, actions = bench.offer(1, called_number=called_number)
         if any(isinstance(a, i.SendSetup) for a in actions):
             bench.ended(call, 1, i.Outcome.NO_LINE, i.Cause.NUMBER_BUSY)
     assert len(bench.controller.failed) <= CALLERS_KEPT
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -18,18 +18,18 @@
 
 def test_transit_goes_only_to_its_destination_or_back_at_once() -> None:
     bench = Bench()
-    call, actions = bench.offer(1, transit=True, advised=2)
+    call, actions = bench.offer(1, transit=True, via=2)
     assert sends(actions) == [1]
     bench.told(1, 0)
-    call, actions = bench.offer(1, transit=True, advised=2)
+    call, actions = bench.offer(1, transit=True, via=2)
     assert actions == [i.Refuse(call, 0)]
-    call, actions = bench.offer(OWN, transit=True, advised=2)
+    call, actions = bench.offer(OWN, transit=True, via=2)
     assert finals(actions) == [call]
 
 
 def test_turned_back_transit_at_the_tandem_is_final() -> None:
     bench = Bench()
-    call, _ = bench.offer(1, transit=True, advised=2)
+    call, _ = bench.offer(1, transit=True, via=2)
     actions = bench.ended(call, 1, i.Outcome.TURNED_AWAY, i.Cause.PROCESSOR_FULL)
     assert finals(actions) == [call] and not sends(actions)
 
@@ -61,7 +61,7 @@
     bench = Bench()
     call, _ = bench.offer(1)
     bench.now += 3 * SECOND
-    assert bench.ended(call, 1, i.Outcome.TIMED_OUT) == [i.GiveUp(call)]
+    assert bench.ended(call, 1, i.Outcome.TIMED_OUT) == [i.Fail(call)]
     assert bench.ended(call, 1, i.Outcome.TIMED_OUT) == []
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -120,7 +120,7 @@
     while at := sends(actions):
         tried += at
         bench.now += 20_000
-        actions = bench.ended(call, at[0], i.Outcome.TURNED_AWAY, i.Cause.TURNED_BACK)
+        actions = bench.ended(call, at[0], i.Outcome.TURNED_AWAY, i.Cause.REFUSED_BY_TANDEM)
     bench.pass_time(2 * SECOND)
     return tried
 
@@ -157,7 +157,7 @@
     for controllers in (4, PROXIES):
         bench, sent = Bench(changed(controllers=controllers), far=1), 0
         for _ in range(600):
-            _, actions = bench.offer(1, called=77)
+            _, actions = bench.offer(1, called_number=77)
             for action in [a for a in actions if isinstance(a, i.SendSetup)]:
                 sent += 1
                 bench.ended(action.call, 1, i.Outcome.NO_LINE, i.Cause.NUMBER_BUSY)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -111,7 +111,7 @@
     def test_a_call_that_may_run_once_fails_where_it_may_have_run(self) -> None:
         at_most_once = changed(classes=tuple(replace(c, at_most_once=True) for c in SETTINGS.classes))
         cases = {
-            i.Outcome.CUT: i.GiveUp, i.Outcome.TIMED_OUT: i.GiveUp, i.Outcome.NO_LINE: i.GiveUp,
+            i.Outcome.CUT: i.Fail, i.Outcome.TIMED_OUT: i.Fail, i.Outcome.NO_LINE: i.Fail,
             i.Outcome.TURNED_AWAY: i.SendSetup, i.Outcome.UNREACHABLE: i.SendSetup,
         }  # fmt: skip
         for outcome, action in cases.items():
@@ -119,7 +119,7 @@
             call, _ = bench.offer(1)
             cause = i.Cause.NUMBER_BUSY if outcome is i.Outcome.NO_LINE else i.Cause.NONE
             actions = bench.ended(call, 1, outcome, cause)
-            actions = [a for a in actions if isinstance(a, i.GiveUp | i.Refuse | i.SendSetup)]
+            actions = [a for a in actions if isinstance(a, i.Fail | i.Refuse | i.SendSetup)]
             self.assertEqual([type(a) for a in actions], [action], outcome)
 
 
