--- a/latchturn/session/module.py
+++ b/latchturn/session/decision_module.py
@@ -5,12 +5,12 @@
 from .. import interface as i
 from ..brain import Controller
 from ..protocol import Release, ReleaseCause
-from .part import Part
+from .component import Component
 from .timers import TimerKind
 from .trace import TraceEvent
 
 
-class Module(Part):
+class DecisionModule(Component):
     """The decision module: hears events, and its actions are carried out."""
 
     def __init__(self, settings: i.Settings, seed: int) -> None:
@@ -23,7 +23,7 @@
             elif isinstance(action, i.Refuse):
                 self.note_final(TraceEvent.CALL_REFUSED, action)
                 stay_ms = -(-action.retry_after_us // 1000)
-                self.calls.final(action.call, Release(action.call, ReleaseCause.CONGESTION, stay_away_ms=stay_ms))
+                self.calls.final(action.call, Release(action.call, ReleaseCause.CONGESTION, retry_after_ms=stay_ms))
             elif isinstance(action, i.Fail):
                 self.note_final(TraceEvent.CALL_FAILED, action)
                 self.calls.final(action.call, Release(action.call, ReleaseCause.TEMPORARY_FAILURE))
--- a/latchturn/session/writing.py
+++ b/latchturn/session/writing.py
@@ -3,16 +3,16 @@
 from __future__ import annotations
 
 from .. import interface as i
-from ..protocol import Message, Release, ReleaseCause, ReleaseHeard
+from ..protocol import Message, Release, ReleaseCause, ReleaseConfirmed
+from .component import Component
+from .inputs_and_effects import Close, Write
 from .limits import MAX_OUTBOX, RESEND_US, STANDING_RELEASE_US, WRITE_BATCH
 from .machines import ATTEMPT, AttemptMove, StreamMove
-from .part import Part
 from .state import Attempt, Caller, GiveUpDue, Link, Outgoing, Stream
 from .trace import CloseReason, TraceEvent
-from .words import Close, Write
 
 
-class Writing(Part):
+class Writing(Component):
     """Writing: what waits for each connection, what leaves now, and what is through."""
 
     def __init__(self) -> None:
@@ -95,7 +95,9 @@
         if messages:
             if isinstance(stream, Caller):
                 stream.write_passed_on = False
-                stream.sent_anything = stream.sent_anything or not all(isinstance(m, ReleaseHeard) for m in messages)
+                stream.sent_anything = stream.sent_anything or not all(
+                    isinstance(m, ReleaseConfirmed) for m in messages
+                )
             stream.write_began_us = self.core.now
             self.core.effects.append(Write(stream.ident, tuple(messages)))
 
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -49,9 +49,9 @@
 
     def test_closes_tell_a_reset_from_an_end(self) -> None:
         for happened, reason in (
-            (s.Ended, CloseReason.PEER_ENDED),
-            (s.Closed, CloseReason.PEER_RESET),
-            (lambda stream: s.Garbled(stream, "spoilt"), CloseReason.GARBLED),
+            (s.EndOfInput, CloseReason.PEER_ENDED),
+            (s.ConnectionClosed, CloseReason.PEER_RESET),
+            (lambda stream: s.MalformedInput(stream, "spoilt"), CloseReason.GARBLED),
         ):
             self.desk = Desk()
             self.desk.do(happened(self.desk.link[1]))
@@ -67,6 +67,6 @@
 
     def test_the_trace_is_bounded(self) -> None:
         for k in range(1, TRACE_LENGTH + 10):
-            self.desk.hear(1, p.Test(k))
+            self.desk.hear(1, p.HealthCheck(k))
             self.desk.session.core.note(TraceEvent.CALL_TAKEN, call=k)
         self.assertEqual(len(self.desk.session.trace_lines()), TRACE_LENGTH)
