--- a/latchturn/session/attempts.py
+++ b/latchturn/session/attempts.py
@@ -4,7 +4,7 @@
 
 from .. import interface as i
 from ..protocol import SetUp
-from .limits import GIVE_UP_STUCK_US, MUTE_MOST, MUTE_US, SLOTS
+from .limits import GIVE_UP_TIMEOUT_US, MAX_LINKS_PER_EXCHANGE, MAX_UNANSWERED_TIMEOUTS, UNRESPONSIVE_US
 from .machines import ATTEMPT, AttemptMove
 from .part import Part
 from .state import Attempt, Call, Exchange, GiveUpDue
@@ -42,7 +42,7 @@
         the same on each and a late answer to an earlier one could not be told from its own. Links that are
         half read come last, since what is behind a spoilt message is lost, and so do those on which the last attempt
         timed out unheard."""
-        free = [k for k in range(SLOTS) if (exchange.ident, k) not in call.used]
+        free = [k for k in range(MAX_LINKS_PER_EXCHANGE) if (exchange.ident, k) not in call.used]
         poor = {k for k, link in exchange.links.items() if link.half_us or link.mute}
         return next((k for k in free if k not in poor), free[0] if free else None)
 
@@ -61,7 +61,7 @@
             self.liveness.suspect(self.exchanges.by_id[link.exchange])
         # The give-up leaves before the module hears of the time-out, so that no two attempts are ever out.
         self.writing.queue(attempt.link, GiveUpDue(attempt))
-        attempt.timer = self.timers.set(GIVE_UP_STUCK_US, TimerKind.GIVE_UP, attempt)
+        attempt.timer = self.timers.set(GIVE_UP_TIMEOUT_US, TimerKind.GIVE_UP, attempt)
 
     def is_mute(self, attempt: Attempt, others_heard_us: list[int]) -> bool:
         """Whether a link on which nothing has been heard since an attempt left is of no use any more: others have
@@ -69,8 +69,8 @@
         if self.liveness.is_last_witness(attempt.link):
             return False
         if others_heard_us:
-            return max(others_heard_us) > attempt.sent_us + MUTE_US
-        return attempt.link.mute >= MUTE_MOST
+            return max(others_heard_us) > attempt.sent_us + UNRESPONSIVE_US
+        return attempt.link.mute >= MAX_UNANSWERED_TIMEOUTS
 
     def end(
         self,
--- a/latchturn/session/callers.py
+++ b/latchturn/session/callers.py
@@ -7,14 +7,14 @@
 
 from ..protocol import Message, Release, ReleaseCause, ReleaseHeard, SetUp, Test, TestResult, Unusable
 from .limits import (
-    CALLERS_LEAST,
-    CALLS_MOST,
-    DESCRIPTORS_KEPT,
-    DRAIN_AWAY_MS,
-    FAULTS_MOST,
-    FRESH_US,
-    LINKS_KEPT,
-    OPEN_MOST,
+    DESCRIPTORS_PER_EXCHANGE,
+    DRAIN_RETRY_AFTER_MS,
+    MAX_CALLS,
+    MAX_FAULTS,
+    MAX_OPEN_CALLS,
+    MIN_CALLERS_DIVISOR,
+    RECENT_ACTIVITY_US,
+    RESERVED_DESCRIPTORS,
 )
 from .machines import StreamMove, StreamState
 from .part import Part
@@ -54,7 +54,7 @@
             self.calls.remember_answered(message.call)
             self.writing.queue(caller, Release(message.call, ReleaseCause.INVALID_CONTENTS))
             self.fault(caller, f"set-ups that cannot be used, the last for its {reason}")
-        elif len(caller.owed) >= OPEN_MOST or len(self.calls.by_id) >= CALLS_MOST or self.phases.answer_all:
+        elif len(caller.owed) >= MAX_OPEN_CALLS or len(self.calls.by_id) >= MAX_CALLS or self.phases.answer_all:
             # Guards the others' calls and the memory against a flood.
             self.core.counters["set_ups_over_budget"] += 1
             self.core.note(
@@ -69,14 +69,16 @@
             self.core.note(TraceEvent.CALL_REFUSED, call=message.call, stream=caller.ident, reason="draining")
             self.calls.remember_answered(message.call)
             self.classes.count("declined", message.class_name)
-            self.writing.queue(caller, Release(message.call, ReleaseCause.CONGESTION, stay_away_ms=DRAIN_AWAY_MS))
+            self.writing.queue(
+                caller, Release(message.call, ReleaseCause.CONGESTION, stay_away_ms=DRAIN_RETRY_AFTER_MS)
+            )
         else:
             self.calls.offer(caller, message, waited_us)
 
     def fault(self, caller: Caller, why: str) -> None:
         """Guards the others' calls against a caller that floods the program with what is of no use."""
         caller.faults += 1
-        if caller.faults >= FAULTS_MOST and not caller.finishing:
+        if caller.faults >= MAX_FAULTS and not caller.finishing:
             self.core.counters["callers_flooding"] += 1
             self.shut(caller, why)
 
@@ -105,7 +107,10 @@
     def most(self) -> int:
         """How many connections of callers fit the descriptor limit, beside those of the other process."""
         ours = self.core.sockets - self.phases.other_holds
-        return max(ours // CALLERS_LEAST, ours - DESCRIPTORS_KEPT - LINKS_KEPT * len(self.exchanges.by_id))
+        return max(
+            ours // MIN_CALLERS_DIVISOR,
+            ours - RESERVED_DESCRIPTORS - DESCRIPTORS_PER_EXCHANGE * len(self.exchanges.by_id),
+        )
 
     def least(self) -> Caller | None:
         """The idle connection that is worth least, None if all are busy.
@@ -115,14 +120,14 @@
         now, a connection goes on which nothing is open or stands; those on which calls stand go last.
         """
         stranger = next((c for c in self.without_calls.values() if c.idle), None)
-        if stranger is not None and self.core.now - stranger.active_us >= FRESH_US:
+        if stranger is not None and self.core.now - stranger.active_us >= RECENT_ACTIVITY_US:
             return stranger
         needed = {call.caller for call in self.calls.by_id.values()}
         idle = [c for c in self.by_stream.values() if c.trust and c.idle and not c.half_us]
         known = min(idle, key=lambda c: (c.ident in needed, c.active_us), default=None)
         if known is None or (known.ident in needed and stranger is not None):
             return stranger
-        return known if self.core.now - known.active_us >= FRESH_US or stranger is None else stranger
+        return known if self.core.now - known.active_us >= RECENT_ACTIVITY_US or stranger is None else stranger
 
     def make_room(self) -> None:
         """The other process holds more now: what fits no more goes."""
--- a/latchturn/session/calls.py
+++ b/latchturn/session/calls.py
@@ -4,7 +4,7 @@
 
 from .. import interface as i
 from ..protocol import Answer, Release, ReleaseCause, SetUp, settings_word
-from .limits import CUT_CALLS_LOGGED, DEADLINE_MARGIN_US, FORGET_US, OVER_MOST, OVERDUE_US
+from .limits import DEADLINE_MARGIN_US, DEADLINE_OVERRUN_US, ENDED_CALL_TTL_US, MAX_LOGGED_CALL_IDS, MAX_REMEMBERED_IDS
 from .machines import CALL, CallMove
 from .part import Part
 from .state import Call, Caller, Exchange, Over
@@ -31,7 +31,7 @@
         caller.owed.add(set_up.call)
         self.core.note(TraceEvent.CALL_TAKEN, call=set_up.call, stream=caller.ident)
         self.over.pop(set_up.call, None)
-        call.timer = self.timers.set(deadline + OVERDUE_US - self.core.now, TimerKind.DEADLINE, call)
+        call.timer = self.timers.set(deadline + DEADLINE_OVERRUN_US - self.core.now, TimerKind.DEADLINE, call)
         figures = set_up.figures
         self.core.events.append(
             i.CallOffered(
@@ -108,12 +108,12 @@
 
     def remember_ended(self, ident: int, stood: bool, answered: bool) -> None:
         self.over.pop(ident, None)
-        self.over[ident] = Over(self.core.now + FORGET_US, stood, answered)
+        self.over[ident] = Over(self.core.now + ENDED_CALL_TTL_US, stood, answered)
 
     def remember_answered(self, ident: int) -> None:
         """Guards against a second answer under the id of a set-up that was turned down as it came. Not while
         a flood has filled what is remembered."""
-        if ident and len(self.over) < OVER_MOST:
+        if ident and len(self.over) < MAX_REMEMBERED_IDS:
             self.remember_ended(ident, False, True)
 
     def end_standing(self, call: Call, outcome: i.Outcome, report: i.Report | None = None) -> None:
@@ -154,7 +154,7 @@
 
     def note_cut(self, exchange: Exchange, cut: list[Call], why: str) -> None:
         """Record which calls are over with their exchange; the log names the first of them."""
-        shown = " ".join(f"{call.ident:016x}" for call in cut[:CUT_CALLS_LOGGED])
+        shown = " ".join(f"{call.ident:016x}" for call in cut[:MAX_LOGGED_CALL_IDS])
         quiet_ms = (self.core.now - exchange.heard_us) // 1000
         text = f"{why}, last heard {quiet_ms} ms ago: {len(cut)} standing calls are over: {shown}"
         self.core.note(TraceEvent.EXCHANGE_DEAD, exchange=exchange.ident, reason=text)
--- a/latchturn/session/channel.py
+++ b/latchturn/session/channel.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from .limits import (
-    CHANNEL_CONNECT_MOST_US,
-    CHANNEL_CONNECT_US,
-    CHANNEL_PATIENCE_GROWTH,
-    CHANNEL_PAUSE_US,
-    CHANNEL_SILENT_MOST_US,
-    CHANNEL_SILENT_US,
+    CHANNEL_CONNECT_TIMEOUT_MAX_US,
+    CHANNEL_CONNECT_TIMEOUT_US,
+    CHANNEL_RECONNECT_PAUSE_US,
+    CHANNEL_SILENCE_MAX_US,
+    CHANNEL_SILENCE_US,
+    CHANNEL_TIMEOUT_GROWTH,
 )
 from .part import Part
 from .timers import TimerKind
@@ -39,7 +39,7 @@
         self.answers = False
         self.heard_us = self.core.now
         self.core.note(TraceEvent.CHANNEL_ASKED, reason=f"{channel[0]}:{channel[1]} after event {self.cursor}")
-        timeout_us = self._grown(CHANNEL_CONNECT_US, CHANNEL_CONNECT_MOST_US)
+        timeout_us = self._grown(CHANNEL_CONNECT_TIMEOUT_US, CHANNEL_CONNECT_TIMEOUT_MAX_US)
         self.core.effects.append(Follow(channel, self.cursor, timeout_us))
 
     def move(self, channel: tuple[str, int]) -> None:
@@ -54,7 +54,7 @@
 
     def _grown(self, first_us: int, most_us: int) -> int:
         """A time limit, grown with the connections that told nothing."""
-        return min(most_us, int(first_us * CHANNEL_PATIENCE_GROWTH ** min(self.lost, 10)))
+        return min(most_us, int(first_us * CHANNEL_TIMEOUT_GROWTH ** min(self.lost, 10)))
 
     def heard(self, number: int) -> None:
         """A frame has come, empty or not."""
@@ -64,7 +64,7 @@
 
     def check(self) -> None:
         """Now and then: give up a connection that has fallen silent."""
-        if self.core.now - self.heard_us <= self._grown(CHANNEL_SILENT_US, CHANNEL_SILENT_MOST_US):
+        if self.core.now - self.heard_us <= self._grown(CHANNEL_SILENCE_US, CHANNEL_SILENCE_MAX_US):
             return
         self.core.counters["channel_silent"] += 1
         self.core.note(TraceEvent.CHANNEL_LOST, reason=f"silent; {self.lost} before it told nothing")
@@ -75,6 +75,6 @@
         """The connection is no more. The first new one is asked for at once."""
         self.core.counters["channel_reconnects"] += 1
         self.core.note(TraceEvent.CHANNEL_LOST, reason=f"{reason}; {self.lost} before it told nothing")
-        pause = CHANNEL_PAUSE_US if self.lost else 0
+        pause = CHANNEL_RECONNECT_PAUSE_US if self.lost else 0
         self.lost += 1
         self.timers.set(int(pause * self.core.random.uniform(0.5, 1.0)), TimerKind.CHANNEL, self.times_asked)
--- a/latchturn/session/classes.py
+++ b/latchturn/session/classes.py
@@ -8,7 +8,7 @@
 from .. import interface as i
 from .. import operations
 from ..protocol import SetUp, settings_word
-from .limits import NUMBERS
+from .limits import MAX_EXCHANGE_NUMBERS
 from .part import Part
 
 CALLED = re.compile(r"[0-9A-Fa-f]{16}", re.ASCII)
@@ -51,9 +51,9 @@
             "tenant": not self.tenants or settings_word(set_up.tenant) in self.tenants,
             "number called": CALLED.fullmatch(set_up.called) is not None,
             "wait": 1 <= set_up.wait_ms <= max(cls.give_up_us, before.give_up_us) // 1000 + 1,
-            "dest": 0 <= figures.get("dest", -1) < NUMBERS,
+            "dest": 0 <= figures.get("dest", -1) < MAX_EXCHANGE_NUMBERS,
             "width": figures.get("width") in (cls.width, before.width),
-            "via": -1 <= figures.get("via", -1) < NUMBERS,
+            "via": -1 <= figures.get("via", -1) < MAX_EXCHANGE_NUMBERS,
             "transit": figures.get("transit", 0) in (0, 1),
             "again": figures.get("again", 0) in (0, 1),
         }
--- a/latchturn/session/end_notices.py
+++ b/latchturn/session/end_notices.py
@@ -9,7 +9,13 @@
 from collections import deque
 
 from ..protocol import Release
-from .limits import FORGET_US, HEARD_US, HOLD_RELEASE_US, SENT_AGAIN_MOST, STANDING_RELEASE_US
+from .limits import (
+    CALLER_RELEASE_TTL_US,
+    CONFIRMATION_TIMEOUT_US,
+    ENDED_CALL_TTL_US,
+    MAX_RELEASE_RESENDS,
+    RELEASE_HOLD_US,
+)
 from .part import Part
 from .state import Caller, Outgoing
 from .trace import TraceEvent
@@ -33,10 +39,10 @@
             caller = self.best()
         over = self.calls.over.get(release.call)
         # One that has been told on connections which closed since has waited long enough already.
-        urgent = over is not None and self.core.now - (over.until_us - FORGET_US) >= HOLD_RELEASE_US
+        urgent = over is not None and self.core.now - (over.until_us - ENDED_CALL_TTL_US) >= RELEASE_HOLD_US
         if caller is None or not (caller.trust or urgent):
             self.core.note(TraceEvent.RELEASE_HELD, call=release.call)
-            self.held.append((self.core.now + STANDING_RELEASE_US, release))
+            self.held.append((self.core.now + CALLER_RELEASE_TTL_US, release))
         else:
             self.core.note(TraceEvent.RELEASE_SENT, call=release.call, stream=caller.ident)
             self.writing.queue(caller, release)
@@ -52,18 +58,18 @@
             return
         if stuck:
             self.send_stuck_ends(caller, other)
-        unheard = [k for k, (at, _) in caller.unconfirmed.items() if at <= self.core.now - HEARD_US]
+        unheard = [k for k, (at, _) in caller.unconfirmed.items() if at <= self.core.now - CONFIRMATION_TIMEOUT_US]
         for ident in unheard:
             _, release = caller.unconfirmed.pop(ident)
             over = self.calls.over.get(ident)
-            if over is not None and over.stood and over.sent_again < SENT_AGAIN_MOST:
+            if over is not None and over.stood and over.sent_again < MAX_RELEASE_RESENDS:
                 over.sent_again += 1
                 self.core.counters["releases_sent_again"] += 1
                 self.writing.queue(other, release)
 
     def is_stuck(self, caller: Caller) -> bool:
         """Whether a write on a connection takes so long that its peer seems to take nothing in."""
-        return bool(caller.in_flight) and self.core.now - caller.write_began_us > HEARD_US
+        return bool(caller.in_flight) and self.core.now - caller.write_began_us > CONFIRMATION_TIMEOUT_US
 
     def send_stuck_ends(self, caller: Caller, other: Caller) -> None:
         """Send the ends of calls that wait on a stuck connection another way: they are owed within 1 s."""
@@ -100,7 +106,7 @@
         self.held = [kept for kept in self.held if kept[0] > self.core.now]
         if not self.held:
             return
-        held_since_us = self.held[0][0] - STANDING_RELEASE_US
+        held_since_us = self.held[0][0] - CALLER_RELEASE_TTL_US
         best = self.best()
-        if best is not None and self.core.now - held_since_us > HOLD_RELEASE_US:
+        if best is not None and self.core.now - held_since_us > RELEASE_HOLD_US:
             self.send_held(best)
--- a/latchturn/session/exchanges.py
+++ b/latchturn/session/exchanges.py
@@ -19,7 +19,7 @@
     TestResult,
     holds_head_of_message,
 )
-from .limits import COPY_US, EXCHANGE_RELEASE_US
+from .limits import EXCHANGE_RELEASE_TTL_US, GROUP_STATE_SPREAD_US
 from .machines import CALL, AttemptState, CallMove
 from .part import Part
 from .state import Attempt, Call, Exchange, Link, SeenGroupState
@@ -120,7 +120,7 @@
         if link is not None:
             self.writing.queue(link, release)
         elif exchange.state is not i.ListState.GONE:
-            exchange.unsent.append((self.core.now + EXCHANGE_RELEASE_US, release))
+            exchange.unsent.append((self.core.now + EXCHANGE_RELEASE_TTL_US, release))
 
     def heard(self, link: Link, message: Message) -> None:
         exchange = self.by_id[link.exchange]
@@ -173,7 +173,7 @@
         Guards against circuits that are counted as free once more, after a call has been sent to them.
         """
         told = exchange.group_states
-        while told and told[0].at_us < self.core.now - COPY_US:
+        while told and told[0].at_us < self.core.now - GROUP_STATE_SPREAD_US:
             told.popleft()
         for state in told:
             if link.ident not in state.links and state.figures == figures:
--- a/latchturn/session/housekeeping.py
+++ b/latchturn/session/housekeeping.py
@@ -7,13 +7,13 @@
 
 from .. import interface as i
 from .limits import (
-    FAULTS_FORGIVEN,
-    HALF_READ_US,
-    LATE_SWEEP_US,
-    MUTE_US,
-    SPEAK_US,
-    STUCK_US,
-    SWEEP_US,
+    CALLER_PARTIAL_TIMEOUT_US,
+    FAULTS_FORGIVEN_PER_SWEEP,
+    FIRST_MESSAGE_TIMEOUT_US,
+    MAX_SWEEP_DELAY_US,
+    SWEEP_INTERVAL_US,
+    UNRESPONSIVE_US,
+    WRITE_TIMEOUT_US,
 )
 from .part import Part
 from .state import Caller, Link, Stream
@@ -29,8 +29,8 @@
         self.was_late = False  # whether that was late
 
     def sweep(self) -> None:
-        """Do all jobs once, and again after `SWEEP_US`."""
-        self.timers.set(SWEEP_US, TimerKind.SWEEP)
+        """Do all jobs once, and again after `SWEEP_INTERVAL_US`."""
+        self.timers.set(SWEEP_INTERVAL_US, TimerKind.SWEEP)
         in_time = self._is_in_time()
         self.channel.check()
         streams: list[Caller | Link] = [*self.callers.by_stream.values(), *self.links.by_stream.values()]
@@ -52,7 +52,7 @@
     def _is_in_time(self) -> bool:
         """Guards against a stop of this process that would be taken for the silence of all others: what they have
         sent meanwhile lies unread. One late sweep draws no conclusions, the next one does."""
-        late = bool(self.swept_us) and self.core.now - self.swept_us > SWEEP_US + LATE_SWEEP_US
+        late = bool(self.swept_us) and self.core.now - self.swept_us > SWEEP_INTERVAL_US + MAX_SWEEP_DELAY_US
         self.swept_us = self.core.now
         self.was_late = late and not self.was_late
         return not self.was_late
@@ -66,7 +66,7 @@
 
     def _check_write(self, stream: Stream) -> None:
         """Close a connection that has taken nothing in for too long."""
-        if stream.in_flight and self.core.now - stream.write_began_us > STUCK_US:
+        if stream.in_flight and self.core.now - stream.write_began_us > WRITE_TIMEOUT_US:
             self.writing.drop(stream, CloseReason.WRITE_STUCK)
 
     def _check_link(self, link: Link) -> None:
@@ -79,22 +79,22 @@
     def _misses_group_states(self, link: Link) -> bool:
         """Whether a link has missed a group state for some time, while others go on to hear."""
         links = self.exchanges.by_id[link.exchange].links.values()
-        return bool(link.missed_us) and max(k.heard_us for k in links) - link.missed_us > MUTE_US
+        return bool(link.missed_us) and max(k.heard_us for k in links) - link.missed_us > UNRESPONSIVE_US
 
     def _missed_its_turn(self, link: Link) -> bool:
         """Whether a link has never heard anything, while one that came up later has: exchanges speak first."""
         links = self.exchanges.by_id[link.exchange].links.values()
         later = [k.first_heard_us for k in links if k.up_us > link.up_us and k.first_heard_us]
-        return not link.heard_us and bool(later) and self.core.now - min(later) > MUTE_US
+        return not link.heard_us and bool(later) and self.core.now - min(later) > UNRESPONSIVE_US
 
     def _check_caller(self, caller: Caller) -> None:
         """Close a connection whose message stays half read, or that has said nothing of use."""
-        caller.faults = max(0, caller.faults - FAULTS_FORGIVEN)
+        caller.faults = max(0, caller.faults - FAULTS_FORGIVEN_PER_SWEEP)
         if caller.finishing:
             return
-        if caller.half_us and self.core.now - caller.half_us > HALF_READ_US:
+        if caller.half_us and self.core.now - caller.half_us > CALLER_PARTIAL_TIMEOUT_US:
             self.callers.shut(caller, "its message stays half read")
-        elif not caller.sent_anything and caller.idle and self.core.now - caller.accepted_us > SPEAK_US:
+        elif not caller.sent_anything and caller.idle and self.core.now - caller.accepted_us > FIRST_MESSAGE_TIMEOUT_US:
             self.core.counters["callers_silent"] += 1
             self.writing.drop(caller, CloseReason.SAID_NOTHING)
 
--- a/latchturn/session/links.py
+++ b/latchturn/session/links.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from .. import interface as i
-from .limits import KEPT, LINK_HALF_READ_US, MOVES_MOST, RECONNECT_FIRST_US, RECONNECT_MOST_US
+from .limits import KEPT_LINKS, LINK_PARTIAL_TIMEOUT_US, MAX_ATTEMPT_MOVES, RECONNECT_MAX_US, RECONNECT_MIN_US
 from .machines import StreamMove
 from .part import Part
 from .state import Exchange, Link
@@ -37,8 +37,8 @@
     def keep(self, exchange: Exchange) -> None:
         """Have links to every exchange that can be used, one after the other: group states come on open links
         alone."""
-        slot = next((k for k in range(KEPT) if k not in exchange.links or not exchange.links[k].up), KEPT)
-        if self.exchanges.usable(exchange) and slot < KEPT and slot not in exchange.links:
+        slot = next((k for k in range(KEPT_LINKS) if k not in exchange.links or not exchange.links[k].up), KEPT_LINKS)
+        if self.exchanges.usable(exchange) and slot < KEPT_LINKS and slot not in exchange.links:
             if self.core.now >= exchange.retry_us:
                 self.connect(exchange, slot)
             else:
@@ -57,11 +57,11 @@
         began = half and not link.half_us
         link.half_us = (link.half_us or self.core.now) if half else 0
         if began:
-            self.timers.set(LINK_HALF_READ_US, TimerKind.HALF_READ, link)
+            self.timers.set(LINK_PARTIAL_TIMEOUT_US, TimerKind.HALF_READ, link)
 
     def half_read_long(self, link: Link) -> None:
         """Guards the set-ups that would follow onto a link on which nothing more can be read."""
-        left = link.half_us + LINK_HALF_READ_US - self.core.now
+        left = link.half_us + LINK_PARTIAL_TIMEOUT_US - self.core.now
         if left <= 0:
             self.core.counters["links_half_read"] += 1
             self.writing.drop(link, CloseReason.HALF_READ)
@@ -101,7 +101,12 @@
         del self.by_stream[link.ident]
         del exchange.links[link.slot]
         for attempt in sorted(link.attempts, key=lambda a: a.call.ident):
-            if not attempt.sent and link.up_us and attempt.moves < MOVES_MOST and self.exchanges.usable(exchange):
+            if (
+                not attempt.sent
+                and link.up_us
+                and attempt.moves < MAX_ATTEMPT_MOVES
+                and self.exchanges.usable(exchange)
+            ):
                 # Guards against taking the reset of a new or idle link for a dead exchange: nothing has left,
                 # so the attempt goes on over another link.
                 attempt.moves += 1
@@ -120,7 +125,7 @@
         # The first reconnect follows at once: a refusal tells at once that the process has died.
         pause = 0
         if exchange.failures:
-            pause = min(RECONNECT_MOST_US, RECONNECT_FIRST_US << min(exchange.failures, 10))
+            pause = min(RECONNECT_MAX_US, RECONNECT_MIN_US << min(exchange.failures, 10))
         exchange.failures += 1
         exchange.retry_us = self.core.now + int(pause * self.core.random.uniform(0.5, 1.0))
         self.keep(exchange)
--- a/latchturn/session/liveness.py
+++ b/latchturn/session/liveness.py
@@ -5,8 +5,8 @@
 set-up that is written or a connection that stays open proves nothing: a hung process and a vanished machine allow all
 three. What breaks, is refused or times out only ever shortens the time until the conclusion, never sets it back.
 
-The conclusion is due within `SILENT_US` of that message, whatever discovery does: the protocol gives 8 s from the end
-of a call that its exchange cannot tell, and the call may have ended right after the message.
+The conclusion is due within `SILENCE_LIMIT_US` of that message, whatever discovery does: the protocol gives 8 s from the
+end of a call that its exchange cannot tell, and the call may have ended right after the message.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 from .. import interface as i
 from .limits import (
-    DRAINED_US,
-    KEPT,
+    DRAINED_AFTER_US,
+    KEPT_LINKS,
+    MAX_LINKS_PER_EXCHANGE,
     PROBE_AFTER_US,
-    PROBE_EVERY_US,
-    RESET_TOGETHER_US,
-    SILENT_US,
-    SLOTS,
-    UNHEARD_LINK_US,
+    PROBE_INTERVAL_US,
+    SILENCE_LIMIT_US,
+    SILENT_LINK_WAIT_US,
+    SIMULTANEOUS_RESET_US,
 )
 from .part import Part
 from .state import Call, Exchange, Link
@@ -88,7 +88,7 @@
 
     def broken(self, link: Link) -> None:
         """The peer ended a link. Those kept are reconnected at once, which tells whether it has died."""
-        if link.slot < KEPT:
+        if link.slot < KEPT_LINKS:
             self.exchanges.by_id[link.exchange].link_broke = True
 
     def reset(self, link: Link) -> None:
@@ -99,8 +99,8 @@
         """
         exchange = self.exchanges.by_id[link.exchange]
         others = any(other.up for other in exchange.links.values() if other is not link)
-        together = self.core.now - exchange.reset_us <= RESET_TOGETHER_US
-        busy = self.core.now - exchange.heard_us <= RESET_TOGETHER_US
+        together = self.core.now - exchange.reset_us <= SIMULTANEOUS_RESET_US
+        busy = self.core.now - exchange.heard_us <= SIMULTANEOUS_RESET_US
         exchange.reset_us = self.core.now
         if exchange.state is not i.ListState.READY or not together or others:
             return
@@ -124,16 +124,16 @@
         if not exchange.standing:
             exchange.replaced_us = 0
             return
-        if exchange.replaced_us and self.core.now - exchange.replaced_heard_us >= SILENT_US:
+        if exchange.replaced_us and self.core.now - exchange.replaced_heard_us >= SILENCE_LIMIT_US:
             calls = self.calls.stood_before(exchange, exchange.replaced_us)
             self.calls.end_unheard(exchange, calls, "reset all its links after a silence, and has told no end since")
             exchange.replaced_us = 0
         silent_us = self.core.now - exchange.alive_us
-        if silent_us >= SILENT_US:
+        if silent_us >= SILENCE_LIMIT_US:
             self._silent(exchange)
-        elif exchange.refused_us and self.core.now - max(exchange.refused_us, exchange.alive_us) > DRAINED_US:
+        elif exchange.refused_us and self.core.now - max(exchange.refused_us, exchange.alive_us) > DRAINED_AFTER_US:
             self.calls.cut(exchange, self.core.now + 1, "has drained and refused links")
-        elif silent_us >= PROBE_AFTER_US and self.core.now - exchange.probed_us >= PROBE_EVERY_US:
+        elif silent_us >= PROBE_AFTER_US and self.core.now - exchange.probed_us >= PROBE_INTERVAL_US:
             self._probe(exchange)
 
     def _silent(self, exchange: Exchange) -> None:
@@ -154,7 +154,7 @@
 
     def suspect(self, exchange: Exchange) -> None:
         """Set-ups time out unheard: see at once whether a new link hears more."""
-        if self.core.now - exchange.probed_us >= PROBE_EVERY_US:
+        if self.core.now - exchange.probed_us >= PROBE_INTERVAL_US:
             exchange.probed_us = self.core.now
             self.open_link(exchange)
 
@@ -166,7 +166,7 @@
             silent_ms = (self.core.now - exchange.alive_us) // 1000
             reason = f"{len(exchange.standing)} calls stand, nothing heard for {silent_ms} ms"
             self.core.note(TraceEvent.EXCHANGE_QUIET, exchange=exchange.ident, reason=reason)
-        self.open_link(exchange, may_close=True, unheard_us=UNHEARD_LINK_US)
+        self.open_link(exchange, may_close=True, unheard_us=SILENT_LINK_WAIT_US)
 
     def open_link(self, exchange: Exchange, may_close: bool = False, unheard_us: float = math.inf) -> bool:
         """Open a further link, unless one is coming up already or has told nothing yet; whether that was done.
@@ -181,7 +181,7 @@
         waited_for = [k for k in unheard if self.core.now - k.up_us < unheard_us]
         if waited_for or any(not k.up for k in exchange.links.values()):
             return False
-        slot = next((k for k in reversed(range(SLOTS)) if k not in exchange.links), None)
+        slot = next((k for k in reversed(range(MAX_LINKS_PER_EXCHANGE)) if k not in exchange.links), None)
         if slot is None:
             # One that has said nothing yet may be told ends of calls as a hung exchange goes on.
             return may_close and not unheard and self._reopen_one(exchange)
@@ -197,7 +197,7 @@
         idle = [k for k in exchange.links.values() if not (k.attempts or k.half_us or self.is_last_witness(k))]
         if not idle:
             return False
-        least = min(idle, key=lambda k: (k.ident in needed, k.slot < KEPT, k.heard_us))
+        least = min(idle, key=lambda k: (k.ident in needed, k.slot < KEPT_LINKS, k.heard_us))
         self.writing.drop(least, CloseReason.PROBED)
         if least.slot not in exchange.links:  # a kept one is opened anew by its close
             self.links.connect(exchange, least.slot)
--- a/latchturn/session/missed_ends.py
+++ b/latchturn/session/missed_ends.py
@@ -9,7 +9,14 @@
 
 from __future__ import annotations
 
-from .limits import COLLECT_EVERY_US, COLLECT_SOON_US, LATE_WORD_US, OPENING_US, PREDECESSOR_US, SILENT_US
+from .limits import (
+    INITIAL_MESSAGES_US,
+    LATE_FIRST_MESSAGE_US,
+    PREDECESSOR_ENDS_US,
+    RECOVERY_DELAY_US,
+    RECOVERY_INTERVAL_US,
+    SILENCE_LIMIT_US,
+)
 from .part import Part
 from .state import Call, Exchange, Link
 from .trace import CloseReason
@@ -38,25 +45,25 @@
     def _opening_heard(self, exchange: Exchange, link: Link, reason: CloseReason) -> bool:
         """Whether all has been heard that an exchange says first on a new link: its group state, then ends of calls."""
         if not exchange.sends_group_states:
-            return self.core.now - link.up_us >= OPENING_US
+            return self.core.now - link.up_us >= INITIAL_MESSAGES_US
         if not link.first_heard_us:
             return False
-        return reason is CloseReason.PEER_ENDED or self.core.now - link.first_heard_us >= OPENING_US
+        return reason is CloseReason.PEER_ENDED or self.core.now - link.first_heard_us >= INITIAL_MESSAGES_US
 
     def first_word(self, exchange: Exchange, link: Link) -> None:
         """A link is heard for the first time. An exchange that hung takes its connections, their ends and the ends of
         calls in any order as it goes on: what it tells after it took this link needs another one."""
-        if self.core.now - link.up_us >= LATE_WORD_US and self._may_have_untold_ends(exchange):
+        if self.core.now - link.up_us >= LATE_FIRST_MESSAGE_US and self._may_have_untold_ends(exchange):
             self.collect_soon(exchange)
 
     def collect_soon(self, exchange: Exchange) -> None:
         """Open a further link before long, on which ends that nobody has heard are told again."""
-        soon_us = self.core.now + COLLECT_SOON_US
+        soon_us = self.core.now + RECOVERY_DELAY_US
         exchange.collect_us = min(exchange.collect_us or soon_us, soon_us)
 
     def check(self, exchange: Exchange) -> None:
         """Now and then: open a link to hear ends, and end in time what no link may tell of any more."""
-        due_us = self.core.now - SILENT_US
+        due_us = self.core.now - SILENCE_LIMIT_US
         suspected = [call for call in self.stranded(exchange) if call.unheard_us <= exchange.lost_opening_us]
         missed = [call for call in suspected if call.unheard_us <= due_us]
         self.calls.end_unheard(exchange, missed, "may have been told over on links that are dead")
@@ -65,13 +72,13 @@
         if not self._may_have_untold_ends(exchange):
             exchange.collect_us = 0
         elif self.liveness.open_link(exchange, may_close=self._speaks(exchange)):
-            exchange.collect_us = self.core.now + COLLECT_EVERY_US if self.stranded(exchange) else 0
+            exchange.collect_us = self.core.now + RECOVERY_INTERVAL_US if self.stranded(exchange) else 0
 
     def _may_have_untold_ends(self, exchange: Exchange) -> bool:
         """Whether the exchange may have told an end on a lost link: of a call that stands here without its link, or of
         one that stood in the process before, which this one does not know."""
-        return bool(self.stranded(exchange)) or self.core.now - self.phases.started_us < PREDECESSOR_US
+        return bool(self.stranded(exchange)) or self.core.now - self.phases.started_us < PREDECESSOR_ENDS_US
 
     def _speaks(self, exchange: Exchange) -> bool:
         """Whether the exchange has said something lately, so that it knows soon of a link that is closed."""
-        return self.core.now - exchange.heard_us < LATE_WORD_US
+        return self.core.now - exchange.heard_us < LATE_FIRST_MESSAGE_US
--- a/latchturn/session/phases.py
+++ b/latchturn/session/phases.py
@@ -9,21 +9,21 @@
 from .. import operations
 from ..protocol import ListUpdate
 from .limits import (
-    DRAIN_LAST_US,
-    DRAIN_QUIET_US,
+    DRAIN_FORCE_CLOSE_US,
+    DRAIN_INTERVAL_US,
+    DRAIN_MIN_OPEN_US,
     DRAIN_REFUSE_US,
-    DRAIN_STEP_US,
-    READY_MOST_US,
-    SUCCEEDED_LAST,
-    SUCCEEDED_REFUSE,
-    SWEEP_US,
-    TERM_CLOSE_MOST_US,
-    TERM_CLOSE_STEP_US,
-    TERM_FLUSH_US,
-    TERM_KILL_SPARE_US,
-    TERM_QUIET_US,
-    TERM_SPARE_US,
-    TERM_WAIT_MOST_US,
+    READY_TIMEOUT_US,
+    SIGKILL_MARGIN_US,
+    SIGTERM_ANSWER_MARGIN_US,
+    SIGTERM_CLOSE_INTERVAL_US,
+    SIGTERM_FLUSH_US,
+    SIGTERM_GRACE_US,
+    SIGTERM_MAX_CLOSE_US,
+    SIGTERM_MAX_WAIT_US,
+    SUCCEEDED_FORCE_CLOSE_SHARE,
+    SUCCEEDED_REFUSE_SHARE,
+    SWEEP_INTERVAL_US,
 )
 from .machines import PHASE, PhaseMove, PhaseState
 from .part import Part
@@ -78,7 +78,7 @@
             return True
         if self.succeeded:
             return not self.callers.by_stream and not busy
-        return since >= TERM_QUIET_US and not busy
+        return since >= SIGTERM_GRACE_US and not busy
 
     def figures(self) -> dict[str, int]:
         """Every figure as it is now: those of the operators' table, then the other counters."""
@@ -105,7 +105,7 @@
             elif not self.drain_us:
                 self.core.log(f"draining: {len(self.callers.by_stream)} connections, {len(self.calls.by_id)} calls")
                 self.move(PhaseMove.DRAIN)
-                self.drain(self.core.now + DRAIN_REFUSE_US, self.core.now + DRAIN_LAST_US)
+                self.drain(self.core.now + DRAIN_REFUSE_US, self.core.now + DRAIN_FORCE_CLOSE_US)
             return operations.answer(True, self.phase.value)
         return operations.answer(False, "this can be asked: " + " ".join(c.value for c in operations.Command))
 
@@ -122,7 +122,7 @@
         """Whether calls can be taken and sent: the listener serves and all groups are told, or should be."""
         if not self.listening:
             return False
-        if self.core.now - self.started_us >= READY_MOST_US:
+        if self.core.now - self.started_us >= READY_TIMEOUT_US:
             return True
         return all(
             e.sends_group_states or e.failures or not self.exchanges.usable(e) for e in self.exchanges.by_id.values()
@@ -133,7 +133,7 @@
         from another, less is waited for."""
         self.drain_us, self.refuse_us, self.last_us = self.core.now, refuse_us, last_us
         self.drains += 1
-        self.timers.set(DRAIN_STEP_US, TimerKind.DRAIN, self.drains)
+        self.timers.set(DRAIN_INTERVAL_US, TimerKind.DRAIN, self.drains)
 
     def serve_again(self) -> None:
         self.drain_us, self.refuse_us = 0, math.inf
@@ -142,15 +142,15 @@
         """Guards the calls that cross a close: a connection is closed only with nothing open or unread."""
         if not self.drain_us:
             return
-        self.timers.set(DRAIN_STEP_US, TimerKind.DRAIN, self.drains)
-        if self.core.now - self.drain_us < DRAIN_QUIET_US and not self.succeeded:
+        self.timers.set(DRAIN_INTERVAL_US, TimerKind.DRAIN, self.drains)
+        if self.core.now - self.drain_us < DRAIN_MIN_OPEN_US and not self.succeeded:
             return
         patient = self.core.now < self.last_us
         # Ends of calls that stand are owed within 1 s, and no other connection may come for them: theirs stay until
         # these are told, and new set-ups on them are refused. A successor hears of the ends and passes them on.
         needed = {call.caller for call in self.calls.by_id.values()}
         for caller in self.callers.by_stream.values():
-            speaks = patient and (caller.half_us or self.core.now - caller.accepted_us < DRAIN_QUIET_US)
+            speaks = patient and (caller.half_us or self.core.now - caller.accepted_us < DRAIN_MIN_OPEN_US)
             needs = caller.ident in needed and (patient or not self.succeeded)
             if caller.idle and not caller.finishing and not speaks and not needs:
                 caller.closing = CloseReason.DRAINED
@@ -182,12 +182,12 @@
         if self.term_us:
             return
         self.term_us = self.core.now
-        kill = min(self.longest_wait_us(), TERM_WAIT_MOST_US) + TERM_QUIET_US
-        last = kill - TERM_SPARE_US
+        kill = min(self.longest_wait_us(), SIGTERM_MAX_WAIT_US) + SIGTERM_GRACE_US
+        last = kill - SIGTERM_ANSWER_MARGIN_US
         # Guards what comes in the first 0.7 s where waits are so short that `last` lies before its end.
-        end = max(last + TERM_FLUSH_US, min(TERM_QUIET_US, kill - TERM_KILL_SPARE_US))
+        end = max(last + SIGTERM_FLUSH_US, min(SIGTERM_GRACE_US, kill - SIGKILL_MARGIN_US))
         self.term_last_us, self.term_exit_us = self.core.now + last, self.core.now + end
-        for after in (TERM_QUIET_US, last, end):
+        for after in (SIGTERM_GRACE_US, last, end):
             self.timers.set(after, TimerKind.TERM)
         self.leave_by_term()
 
@@ -230,14 +230,16 @@
             for call in [c for c in self.calls.by_id.values() if c.stands_at is None]:
                 self.calls.fail(call, "the program ends")
             self.close_idle()
-        late_us = max(self.closing_us + TERM_CLOSE_MOST_US, self.term_last_us + TERM_FLUSH_US)
-        return not self.callers.by_stream or self.core.now >= min(late_us, self.term_exit_us + TERM_CLOSE_STEP_US)
+        late_us = max(self.closing_us + SIGTERM_MAX_CLOSE_US, self.term_last_us + SIGTERM_FLUSH_US)
+        return not self.callers.by_stream or self.core.now >= min(
+            late_us, self.term_exit_us + SIGTERM_CLOSE_INTERVAL_US
+        )
 
     def close_idle(self) -> None:
         """Close the connections of callers on which nothing is owed, for the end."""
         if self.state is PhaseState.EXITED:
             return
-        self.timers.set(TERM_CLOSE_STEP_US, TimerKind.CLOSE)
+        self.timers.set(SIGTERM_CLOSE_INTERVAL_US, TimerKind.CLOSE)
         for caller in self.callers.by_stream.values():
             if caller.idle and not caller.finishing:
                 caller.closing = CloseReason.PROGRAM_ENDS
@@ -252,13 +254,13 @@
         """Where there is a successor, all connections are to be closed before SIGKILL may come."""
         if self.term_us and self.succeeded:
             span = self.term_last_us - self.term_us
-            self.last_us = self.term_us + SUCCEEDED_LAST * span
-            self.refuse_us = self.term_us + SUCCEEDED_REFUSE * span
+            self.last_us = self.term_us + SUCCEEDED_FORCE_CLOSE_SHARE * span
+            self.refuse_us = self.term_us + SUCCEEDED_REFUSE_SHARE * span
 
     def started(self, known: Iterable[ListUpdate], cursor: int) -> None:
         self.started_us = self.core.now
-        self.timers.set(READY_MOST_US, TimerKind.READY)
-        self.timers.set(SWEEP_US, TimerKind.SWEEP)
+        self.timers.set(READY_TIMEOUT_US, TimerKind.READY)
+        self.timers.set(SWEEP_INTERVAL_US, TimerKind.SWEEP)
         for update in known:
             self.exchanges.list_told(update)
         self.channel.cursor = max(self.channel.cursor, cursor)
--- a/latchturn/session/writing.py
+++ b/latchturn/session/writing.py
@@ -4,7 +4,7 @@
 
 from .. import interface as i
 from ..protocol import Message, Release, ReleaseCause, ReleaseHeard
-from .limits import MAX_OUTBOX, RESEND_US, STANDING_RELEASE_US, WRITE_BATCH
+from .limits import CALLER_RELEASE_TTL_US, MAX_OUTBOX_MESSAGES, MAX_WRITE_MESSAGES, RECENT_WRITE_US
 from .machines import ATTEMPT, AttemptMove, StreamMove
 from .part import Part
 from .state import Attempt, Caller, GiveUpDue, Link, Outgoing, Stream
@@ -33,10 +33,10 @@
     def _unproved_since(self, stream: Caller | Link) -> int:
         """What was written later may not have arrived: lately, on a link since it last told anything, and to a caller
         for as long as there is no other connection on which it could be sent again."""
-        since = self.core.now - RESEND_US
+        since = self.core.now - RECENT_WRITE_US
         if isinstance(stream, Link):
-            return max(min(since, stream.heard_us), self.core.now - STANDING_RELEASE_US)
-        return since if self.end_notices.other_than(stream) else self.core.now - STANDING_RELEASE_US
+            return max(min(since, stream.heard_us), self.core.now - CALLER_RELEASE_TTL_US)
+        return since if self.end_notices.other_than(stream) else self.core.now - CALLER_RELEASE_TTL_US
 
     def settled_releases(self, stream: Caller | Link) -> list[int]:
         """The calls whose releases on a stream are held to have arrived, though nothing has confirmed them."""
@@ -75,11 +75,11 @@
     def flush(self, stream: Stream) -> None:
         """Ask for the next write, if none is under way. What is stale by now does not leave."""
         if not stream.up or stream.in_flight:
-            if len(stream.outbox) > MAX_OUTBOX:
+            if len(stream.outbox) > MAX_OUTBOX_MESSAGES:
                 self.drop(stream, CloseReason.OUTBOX_FULL)
             return
         messages: list[Message] = []
-        while stream.outbox and len(messages) < WRITE_BATCH:
+        while stream.outbox and len(messages) < MAX_WRITE_MESSAGES:
             item = stream.outbox.popleft()
             message: Message | None
             if isinstance(item, Attempt):
--- a/tests/test_ends_to_callers.py
+++ b/tests/test_ends_to_callers.py
@@ -104,4 +104,4 @@
         self.connect(2, 6)
         self.end()
         written = [message for _, message in self.desk.pass_time(UNSENT_US)]
-        self.assertTrue(1 <= written.count(END) <= limits.SENT_AGAIN_MOST, written.count(END))
+        self.assertTrue(1 <= written.count(END) <= limits.MAX_RELEASE_RESENDS, written.count(END))
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -39,7 +39,7 @@
         self.assertEqual((desk.taking, desk.ask(PING)), ([True, False], "ERR ending\n"))
         # The front's tests mean the address, and a successor serves there.
         self.assertEqual(desk.hear(3, p.Test(9)), [(3, p.TestResult(9, True))])
-        desk.pass_time(limits.DRAIN_STEP_US)
+        desk.pass_time(limits.DRAIN_INTERVAL_US)
         self.assertEqual(sorted(desk.closed), [1, 3])
         desk.hear(desk.link[1], p.Answer(5, b"yes"))
         desk.pass_time(2 * SECOND)
@@ -71,7 +71,7 @@
         desk.hear(2, set_up(6, to=2))
         desk.hear(desk.link[1], p.Answer(5, b"yes"))
         desk.pass_time(SECOND * 14 // 10)
-        refusal = p.Release(7, p.ReleaseCause.CONGESTION, stay_away_ms=limits.DRAIN_AWAY_MS)
+        refusal = p.Release(7, p.ReleaseCause.CONGESTION, stay_away_ms=limits.DRAIN_RETRY_AFTER_MS)
         self.assertIn((2, refusal), desk.hear(2, set_up(7)))
 
     def test_it_serves_again_where_the_successor_goes_before_sigterm(self) -> None:
@@ -110,7 +110,7 @@
         desk = Desk(far=2, sockets=200)
         for stream in (2, 3):
             desk.do(s.Accepted(stream))
-        desk.do(s.OtherHolds(200 - 2 * limits.CALLERS_LEAST))
+        desk.do(s.OtherHolds(200 - 2 * limits.MIN_CALLERS_DIVISOR))
         self.assertEqual(desk.closed, [1])
         desk.do(s.Accepted(4))
         self.assertEqual(desk.closed, [1, 2])
@@ -168,7 +168,7 @@
 
     def test_all_calls_that_stand_arrive_however_many_there_are(self) -> None:
         # With one write a call, 278 of 2000 arrived at a process that did not read meanwhile.
-        calls = [((1 << 64) - 1 - k, 101) for k in range(limits.CALLS_MOST)]
+        calls = [((1 << 64) - 1 - k, 101) for k in range(limits.MAX_CALLS)]
 
         async def bequeath(old: socket.socket) -> None:
             h.say_all(trio.socket.from_stdlib_socket(old), h.STANDS, calls)
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -115,7 +115,7 @@
 
     def test_a_cut_that_heals_keeps_its_calls_if_a_link_from_before_speaks(self) -> None:
         desk = self.desk
-        desk.pass_time(limits.PROBE_AFTER_US + limits.SWEEP_US)
+        desk.pass_time(limits.PROBE_AFTER_US + limits.SWEEP_INTERVAL_US)
         desk.do(s.ConnectFailed(desk.connects[-1].stream, False))
         desk.pass_time(SECOND)
         witness = desk.link[1]
@@ -150,7 +150,7 @@
     def test_ends_that_may_be_told_on_a_link_that_we_closed_are_asked_for_on_a_new_one(self) -> None:
         desk = self.desk
         desk.do(s.HalfRead(desk.link[1], True))
-        desk.pass_time(limits.LINK_HALF_READ_US)
+        desk.pass_time(limits.LINK_PARTIAL_TIMEOUT_US)
         self.assertEqual(desk.closed, [desk.link[1]])
         desk.do(s.Connected(desk.connects[-1].stream))
         desk.hear(desk.connects[-1].stream, group_state(3))
@@ -203,7 +203,7 @@
         desk.hear(new, group_state(6))
         desk.pass_time(SECOND)
         desk.hear(new, p.Progress(5))
-        desk.pass_time(limits.SWEEP_US)
+        desk.pass_time(limits.SWEEP_INTERVAL_US)
         self.assertEqual(desk.closed, [])
 
     def test_a_hung_exchange_keeps_its_links_though_set_ups_time_out_on_them(self) -> None:
@@ -279,9 +279,9 @@
     def silent_then_new(self) -> list[tuple[int, p.Message]]:
         """No connect comes up for a time, then a new link speaks."""
         desk = self.desk
-        desk.pass_time(limits.PROBE_AFTER_US + limits.SWEEP_US)
+        desk.pass_time(limits.PROBE_AFTER_US + limits.SWEEP_INTERVAL_US)
         desk.do(s.ConnectFailed(desk.connects[-1].stream, False))
-        desk.pass_time(limits.PROBE_EVERY_US + limits.SWEEP_US)
+        desk.pass_time(limits.PROBE_INTERVAL_US + limits.SWEEP_INTERVAL_US)
         self.new = desk.connects[-1].stream
         return desk.do(s.Connected(self.new)) + desk.hear(self.new, group_state(40))
 
@@ -315,7 +315,7 @@
             self.assertNotIn((1, END), written)
             if heard:
                 desk.hear(desk.link[1], group_state(7))
-            written = desk.pass_time(2 * limits.SWEEP_US)
+            written = desk.pass_time(2 * limits.SWEEP_INTERVAL_US)
             self.assertEqual((1, END) in written, not heard)
 
     def test_sweeps_that_are_always_late_conclude_all_the_same(self) -> None:
--- a/tests/test_missed_ends.py
+++ b/tests/test_missed_ends.py
@@ -100,7 +100,7 @@
     def test_a_call_goes_on_whose_next_link_brought_all_that_comes_first(self) -> None:
         self.lose(self.desk.link[1])
         streams = self.come_up()
-        self.pass_time(self.desk.now + limits.OPENING_US)
+        self.pass_time(self.desk.now + limits.INITIAL_MESSAGES_US)
         for stream in streams:
             self.lose(stream)
         self.pass_time(self.began + 3 * TOLD_US)
@@ -128,7 +128,7 @@
         desk = self.desk
         self.lose(desk.link[1])
         forgotten = self.come_up(speaks=False)
-        desk.pass_time(limits.PROBE_AFTER_US + limits.SWEEP_US)
+        desk.pass_time(limits.PROBE_AFTER_US + limits.SWEEP_INTERVAL_US)
         later = self.come_up()
         self.assertTrue(later)
         desk.pass_time(SECOND)
@@ -211,7 +211,7 @@
 
     def test_one_that_hangs_later_has_no_calls_of_that_process(self) -> None:
         desk, stream = self.start_among_hung_exchanges()
-        desk.pass_time(limits.PREDECESSOR_US + 3 * SECOND)
+        desk.pass_time(limits.PREDECESSOR_ENDS_US + 3 * SECOND)
         connects = len(desk.connects)
         desk.hear(stream, group_state(3))
         desk.pass_time_in_touch(SOON_US, SOON_US // 4)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -86,7 +86,7 @@
         desk.session.exchanges.by_id[102].sends_group_states = False
         self.assertEqual(desk.ask(C.PING), "ERR starting\n")
         self.assertEqual(desk.hear(1, p.Test(9)), [(1, p.TestResult(9, False))])
-        desk.pass_time(limits.READY_MOST_US)
+        desk.pass_time(limits.READY_TIMEOUT_US)
         self.assertEqual(desk.ask(C.PING), "OK serving\n")
 
 
@@ -104,18 +104,18 @@
         self.assertEqual(desk.ask(C.PING), "ERR draining\n")
         self.assertEqual(desk.hear(1, p.Test(9)), [(1, p.TestResult(9, False))])
         desk.do(s.Accepted(4))
-        desk.pass_time(limits.DRAIN_QUIET_US - 1)
+        desk.pass_time(limits.DRAIN_MIN_OPEN_US - 1)
         self.assertEqual(desk.closed, [])
         desk.do(s.Accepted(6))
         desk.hear(1, set_up(6))  # still taken
         self.assertEqual(len(desk.session.calls.by_id), 2)
-        desk.pass_time(limits.DRAIN_STEP_US)
+        desk.pass_time(limits.DRAIN_INTERVAL_US)
         self.assertEqual(sorted(desk.closed), [3, 4])  # 6 may be about to speak
         desk.hear(desk.link[1], p.Answer(5, b"yes"))
-        desk.pass_time(limits.DRAIN_STEP_US)
+        desk.pass_time(limits.DRAIN_INTERVAL_US)
         self.assertEqual(sorted(desk.closed), [3, 4])  # its end is owed to its caller, who has no other way
         desk.hear(desk.link[1], p.Release(5, p.ReleaseCause.NORMAL))
-        desk.pass_time(limits.DRAIN_STEP_US)
+        desk.pass_time(limits.DRAIN_INTERVAL_US)
         self.assertEqual(sorted(desk.closed), [2, 3, 4])
 
     def test_where_a_call_stands_the_connection_stays_until_its_end_is_told_and_set_ups_on_it_are_refused(self) -> None:
@@ -130,7 +130,7 @@
             self.assertEqual(desk.closed, [])
             end = p.Release(5, p.ReleaseCause.NORMAL)
             self.assertIn((1, end), desk.hear(desk.link[1], end))
-            desk.pass_time(limits.DRAIN_STEP_US)
+            desk.pass_time(limits.DRAIN_INTERVAL_US)
             self.assertEqual(desk.closed, [1])
 
     def test_a_connection_that_is_never_idle_is_so_before_2_s(self) -> None:
@@ -140,7 +140,7 @@
         desk.pass_time(limits.DRAIN_REFUSE_US)
         before = desk.figure("declined.premium_quote")
         written = desk.hear(1, set_up(6))
-        refusal = p.Release(6, p.ReleaseCause.CONGESTION, stay_away_ms=limits.DRAIN_AWAY_MS)
+        refusal = p.Release(6, p.ReleaseCause.CONGESTION, stay_away_ms=limits.DRAIN_RETRY_AFTER_MS)
         self.assertEqual(written, [(1, refusal)])
         self.assertEqual(desk.figure("declined.premium_quote"), before + 1)
 
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -72,7 +72,7 @@
             self.assertIn((1, p.Release(5, GIVE_UP)), written)
             if confirmed:
                 desk.hear(1, p.ReleaseHeard(5))
-            written = desk.pass_time(limits.HEARD_US + limits.SWEEP_US)
+            written = desk.pass_time(limits.CONFIRMATION_TIMEOUT_US + limits.SWEEP_INTERVAL_US)
             self.assertEqual(written, [] if confirmed else [(2, p.Release(5, GIVE_UP))])
             desk.hear(2, p.ReleaseHeard(5))
             self.assertEqual(desk.pass_time(SECOND), [])
@@ -99,7 +99,7 @@
             desk.do(s.Accepted(stream))
         desk.hear(self.link[1], p.Release(5, GIVE_UP))
         desk.do(s.Closed(1))
-        desk.pass_time(limits.HOLD_RELEASE_US + limits.SWEEP_US)
+        desk.pass_time(limits.RELEASE_HOLD_US + limits.SWEEP_INTERVAL_US)
         self.assertIn((2, p.Release(5, GIVE_UP)), desk.written)
         self.assertEqual(desk.do(s.Closed(2)), [(3, p.Release(5, GIVE_UP))])
 
@@ -216,7 +216,7 @@
         self.assertIn(5, desk.session.calls.by_id)  # its give-up is asked for, but not through
         self.assertEqual(desk.written[-1], (self.link[1], p.Release(5, GIVE_UP)))
         # A link that takes no give-up within 50 ms is closed, which gives up all set-ups on it.
-        written = desk.pass_time(limits.GIVE_UP_STUCK_US)
+        written = desk.pass_time(limits.GIVE_UP_TIMEOUT_US)
         self.assertIn(self.link[1], desk.closed)
         # The exchange is told on its other link too: it may have answered just before the close.
         self.assertEqual(sent(written, p.Release), [1, desk.second[1]])
@@ -270,7 +270,7 @@
         desk.do(s.Accepted(2))
         desk.hear(2, set_up(6, to=2))
         self.assertEqual(sent(desk.hear(self.link[2], p.Answer(6, b"")), p.Answer), [2])
-        desk.pass_time(limits.STUCK_US + SECOND)
+        desk.pass_time(limits.WRITE_TIMEOUT_US + SECOND)
         self.assertEqual(desk.closed, [1])
 
 
@@ -363,7 +363,7 @@
         self.assertEqual(sent(written, p.Release), [])
         self.assertIn(5, desk.session.calls.by_id)
         desk.do(s.Connected(desk.connects[-1].stream))  # it may be another exchange's by now
-        written = desk.pass_time(limits.DRAINED_US)
+        written = desk.pass_time(limits.DRAINED_AFTER_US)
         self.assertIn((1, p.Release(5, p.ReleaseCause.TEMPORARY_FAILURE)), written)
 
     def test_a_refused_link_beside_one_that_is_up_proves_nothing(self) -> None:
@@ -391,7 +391,7 @@
         desk.stand(5)
         desk.do(s.Closed(desk.link[1]))  # the other stays open, and silent
         desk.do(s.ConnectFailed(desk.connects[-1].stream, refused=False))
-        self.assertEqual(sent(desk.pass_time(limits.SILENT_US + SECOND), p.Release), [1])
+        self.assertEqual(sent(desk.pass_time(limits.SILENCE_LIMIT_US + SECOND), p.Release), [1])
 
     def test_links_come_back_with_growing_pauses(self) -> None:
         desk = Desk(far=1)
@@ -406,8 +406,8 @@
                 desk.now = desk.session.wake_us()
                 desk.do(s.Tick())
             pauses.append(desk.now - before)
-        self.assertLessEqual(max(pauses), limits.RECONNECT_MOST_US)
-        self.assertGreaterEqual(pauses[-1], limits.RECONNECT_MOST_US // 2)
+        self.assertLessEqual(max(pauses), limits.RECONNECT_MAX_US)
+        self.assertGreaterEqual(pauses[-1], limits.RECONNECT_MAX_US // 2)
         self.assertGreater(pauses[-1], pauses[1])
 
     def test_an_old_event_of_the_channel_is_passed_over(self) -> None:
@@ -471,7 +471,7 @@
         desk.hear(1, set_up(4))
         desk.do(s.HalfRead(self.link, True))
         self.assertEqual(sent(desk.hear(1, set_up(5)), p.SetUp), [self.other])
-        desk.pass_time(limits.LINK_HALF_READ_US)
+        desk.pass_time(limits.LINK_PARTIAL_TIMEOUT_US)
         self.assertEqual(desk.closed, [self.link])
         self.assertEqual(desk.session.counters["attempts_cut"], 1)
 
@@ -594,16 +594,16 @@
         self.assertEqual(self.desk.closed, [])
 
     def test_calls_beyond_a_connections_budget_are_refused_at_once(self) -> None:
-        for k in range(1, limits.OPEN_MOST + 1):
+        for k in range(1, limits.MAX_OPEN_CALLS + 1):
             self.desk.hear(1, set_up(k, wait_ms=9000))
         owed = len(self.desk.session.callers.by_stream[1].owed)
-        self.assertLessEqual(owed, limits.OPEN_MOST)
-        for k in range(owed, limits.OPEN_MOST + 1):
+        self.assertLessEqual(owed, limits.MAX_OPEN_CALLS)
+        for k in range(owed, limits.MAX_OPEN_CALLS + 1):
             written = self.desk.hear(1, set_up(1000 + k, wait_ms=9000))
         self.assertEqual([(m.cause, m.stay_away_ms) for _, m in written], [(p.ReleaseCause.CONGESTION, 2000)])
 
     def test_connections_on_which_calls_stood_are_the_last_to_make_room(self) -> None:
-        desk = Desk(sockets=3 * limits.CALLERS_LEAST)
+        desk = Desk(sockets=3 * limits.MIN_CALLERS_DIVISOR)
         desk.stand(5)
         for stream in range(2, 40):
             desk.do(s.Accepted(stream))
@@ -616,7 +616,7 @@
             self.assertEqual(desk.session.callers.most(), most)
 
     def test_in_a_crowd_what_comes_in_pieces_outlasts_silence(self) -> None:
-        desk = Desk(sockets=12 * limits.CALLERS_LEAST)
+        desk = Desk(sockets=12 * limits.MIN_CALLERS_DIVISOR)
         desk.do(s.Accepted(2))
         for stream in range(10, 60):
             desk.pass_time(100_000)
@@ -630,7 +630,7 @@
         self.assertGreater(len(desk.closed), 20)
 
     def test_where_all_strangers_are_fresh_a_connection_with_nothing_open_makes_room(self) -> None:
-        desk = Desk(sockets=4 * limits.CALLERS_LEAST)
+        desk = Desk(sockets=4 * limits.MIN_CALLERS_DIVISOR)
         desk.stand(5)
         desk.do(s.Accepted(2))
         desk.hear(2, set_up(6, to=9))  # refused: nothing is left of it
@@ -651,7 +651,7 @@
 
 class Life(unittest.TestCase):
     def test_the_descriptor_budget_is_kept(self) -> None:
-        desk = Desk(sockets=2 * limits.CALLERS_LEAST)
+        desk = Desk(sockets=2 * limits.MIN_CALLERS_DIVISOR)
         desk.hear(1, set_up(5))
         desk.do(s.Accepted(2))
         desk.do(s.Accepted(3))  # the idle one makes room
@@ -671,7 +671,7 @@
             desk.hear(desk.link[2], p.Answer(6, b""))
             if answered:
                 desk.hear(desk.link[1], p.Answer(5, b""))
-            desk.pass_time(limits.TERM_QUIET_US - 300_001)
+            desk.pass_time(limits.SIGTERM_GRACE_US - 300_001)
             self.assertFalse(desk.ended)
             desk.pass_time(2)
             self.assertEqual(desk.ended, answered)
@@ -692,12 +692,12 @@
 
         desk.session.step = step  # type: ignore[method-assign]
         desk.do(s.Terminate())
-        desk.pass_time(limits.TERM_QUIET_US)
+        desk.pass_time(limits.SIGTERM_GRACE_US)
         self.assertEqual((desk.closed, desk.ended), ([1], False))
         refusal = p.Release(7, p.ReleaseCause.CONGESTION, stay_away_ms=2000)
         unread.clear()
         self.assertEqual(desk.hear(2, set_up(7)), [(2, refusal)])
-        desk.pass_time(limits.TERM_CLOSE_STEP_US)
+        desk.pass_time(limits.SIGTERM_CLOSE_INTERVAL_US)
         self.assertEqual((desk.closed, desk.ended), ([1, 2], True))
 
     def test_a_set_up_that_comes_as_all_is_answered_for_the_end_is_answered_and_is_no_fault(self) -> None:
@@ -752,7 +752,7 @@
         while len(desk.follows) == before + 1:
             desk.pass_time(SECOND // 20)
         wait = max(wait, desk.now - began - wait)
-        longest = limits.CHANNEL_CONNECT_MOST_US + limits.CHANNEL_PAUSE_US + wait
+        longest = limits.CHANNEL_CONNECT_TIMEOUT_MAX_US + limits.CHANNEL_RECONNECT_PAUSE_US + wait
         self.assertLess(longest, 6 * SECOND - SECOND // 2)
 
     def test_new_configurations_in_a_row_do_not_end_a_connection_to_the_same_address(self) -> None:
@@ -774,7 +774,7 @@
         desk.do(s.ChannelLost("refused"))
         self.assertEqual(len(desk.follows), 2)
         for _ in range(8):  # each takes its whole time to fail
-            desk.pass_time(limits.CHANNEL_PAUSE_US)
+            desk.pass_time(limits.CHANNEL_RECONNECT_PAUSE_US)
             desk.do(s.ChannelLost("timed out"))
         self.assertEqual(len(desk.follows), 10)
         self.assertLess(desk.now - begin, 2 * SECOND)
@@ -786,8 +786,8 @@
             desk.do(s.ListTold(p.ListUpdate(0, None)))
         self.assertEqual(len(desk.follows), 1)
         desk.do(s.ListTold(p.ListUpdate(2, i.ListKind.CHANGES, (listed(1, state=i.ListState.DRAINING),))))
-        desk.pass_time(4 * SECOND - limits.CHANNEL_CONNECT_US - SECOND)
-        self.assertEqual(desk.follows[1:], [s.Follow(("127.0.0.1", 9), 2, limits.CHANNEL_CONNECT_US)])
+        desk.pass_time(4 * SECOND - limits.CHANNEL_CONNECT_TIMEOUT_US - SECOND)
+        self.assertEqual(desk.follows[1:], [s.Follow(("127.0.0.1", 9), 2, limits.CHANNEL_CONNECT_TIMEOUT_US)])
 
     def test_an_event_written_twice_or_known_counts_once(self) -> None:
         # The whole list of the start, coming again, would bring back an exchange that has gone.
@@ -802,5 +802,5 @@
         self.assertNotIn(101, desk.session.exchanges.by_id)
         self.assertEqual(len(desk.connects), count)
         self.assertEqual(desk.session.exchanges.by_id[102].state, i.ListState.DRAINING)
-        self.assertEqual(desk.follows[-1], s.Follow(("127.0.0.1", 10), 3, limits.CHANNEL_CONNECT_US))
+        self.assertEqual(desk.follows[-1], s.Follow(("127.0.0.1", 10), 3, limits.CHANNEL_CONNECT_TIMEOUT_US))
         self.assertEqual(desk.session.core.sockets, 512)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -80,7 +80,7 @@
             self.assertEqual(desk.figure("outstanding"), 1)
             desk.do(s.Terminate())
             kill_us = SECOND // 2 + 700_000
-            written += desk.pass_time_in_touch(kill_us - limits.TERM_KILL_SPARE_US, tell_us=SECOND // 10)
+            written += desk.pass_time_in_touch(kill_us - limits.SIGKILL_MARGIN_US, tell_us=SECOND // 10)
             self.assertEqual([m.call for stream, m in written if stream == 2], [1])
             self.assertTrue(desk.ended)
 
