--- a/latchturn/checking/remains.py
+++ b/latchturn/checking/remains.py
@@ -33,7 +33,7 @@
             found.append(f"unconfirmed releases on stream {stream.ident}")
     found += [f"owed calls on caller {c.ident}" for c in session.callers.by_stream.values() if c.owed]
     found += [f"attempts on link {k.ident}" for k in session.links.by_stream.values() if k.attempts]
-    found += [f"standing calls at {e.ident}" for e in session.exchanges.by_id.values() if e.standing]
+    found += [f"standing calls at {e.ident}" for e in session.exchanges.by_id.values() if e.standing_calls]
     kinds = [t.kind for _, _, t in session.timers.heap if t.kind in OF_CALLS and t.what is not None]
     found += [f"a timer {kind.name}" for kind in kinds]
     return found
--- a/latchturn/session/attempts.py
+++ b/latchturn/session/attempts.py
@@ -43,7 +43,7 @@
         half read come last, since what is behind a spoilt message is lost, and so do those on which the last attempt
         timed out unheard."""
         free = [k for k in range(MAX_LINKS_PER_EXCHANGE) if (exchange.ident, k) not in call.used]
-        poor = {k for k, link in exchange.links.items() if link.half_us or link.mute}
+        poor = {k for k, link in exchange.links.items() if link.half_us or link.unanswered_timeouts}
         return next((k for k in free if k not in poor), free[0] if free else None)
 
     def timed_out(self, attempt: Attempt) -> None:
@@ -52,13 +52,15 @@
             return
         attempt.state = ATTEMPT.go(attempt.state, AttemptMove.TIME_OUT)
         link = attempt.link
-        link.mute = link.mute + 1 if link.heard_us < attempt.sent_us else 0
-        others = [k.heard_us for k in self.exchanges.by_id[link.exchange].links.values() if k is not link and k.up]
-        if link.mute and self.is_mute(attempt, others):
+        link.unanswered_timeouts = link.unanswered_timeouts + 1 if link.last_received_us < attempt.sent_us else 0
+        others = [
+            k.last_received_us for k in self.exchanges.by_id[link.exchange_id].links.values() if k is not link and k.up
+        ]
+        if link.unanswered_timeouts and self.is_mute(attempt, others):
             self.links.drop_mute(link)
             return
-        if link.mute:
-            self.liveness.suspect(self.exchanges.by_id[link.exchange])
+        if link.unanswered_timeouts:
+            self.liveness.suspect(self.exchanges.by_id[link.exchange_id])
         # The give-up leaves before the module hears of the time-out, so that no two attempts are ever out.
         self.writing.queue(attempt.link, GiveUpDue(attempt))
         attempt.timer = self.timers.set(GIVE_UP_TIMEOUT_US, TimerKind.GIVE_UP, attempt)
@@ -70,7 +72,7 @@
             return False
         if others_heard_us:
             return max(others_heard_us) > attempt.sent_us + UNRESPONSIVE_US
-        return attempt.link.mute >= MAX_UNANSWERED_TIMEOUTS
+        return attempt.link.unanswered_timeouts >= MAX_UNANSWERED_TIMEOUTS
 
     def end(
         self,
@@ -85,12 +87,12 @@
         self.give_back(attempt)
         self.core.counters[f"attempts_{outcome.name.lower()}"] += 1
         self.core.note(
-            TraceEvent.ATTEMPT_ENDED, call=call.ident, exchange=attempt.link.exchange,
+            TraceEvent.ATTEMPT_ENDED, call=call.ident, exchange=attempt.link.exchange_id,
             stream=attempt.link.ident, reason=outcome.name,
         )  # fmt: skip
         self.core.events.append(
             i.AttemptEnded(
-                call.ident, attempt.number, attempt.link.exchange, outcome,
+                call.ident, attempt.number, attempt.link.exchange_id, outcome,
                 self.core.now - attempt.started_us, concluded, cause, 0, report,
             )
         )  # fmt: skip
@@ -107,13 +109,13 @@
         call = attempt.call
         if call.attempt is not attempt or self.core.now >= attempt.due_us:
             return None
-        if self.exchanges.by_id[attempt.link.exchange].state is not i.ListState.READY:
+        if self.exchanges.by_id[attempt.link.exchange_id].state is not i.ListState.READY:
             self.end(attempt, i.Outcome.NOT_SENT)
             return None
         attempt.state = ATTEMPT.go(attempt.state, AttemptMove.LEAVE)
         attempt.sent_us = self.core.now
         self.core.note(
-            TraceEvent.ATTEMPT_SENT, call=call.ident, exchange=attempt.link.exchange, stream=attempt.link.ident
+            TraceEvent.ATTEMPT_SENT, call=call.ident, exchange=attempt.link.exchange_id, stream=attempt.link.ident
         )
         wait_ms = max(1, (attempt.due_us - self.core.now) // 1000)
         old = call.set_up
--- a/latchturn/session/calls.py
+++ b/latchturn/session/calls.py
@@ -120,7 +120,7 @@
         """A call that stood is over."""
         at = call.stands_at
         assert at is not None
-        self.exchanges.by_id[at].standing.discard(call.ident)
+        self.exchanges.by_id[at].standing_calls.discard(call.ident)
         self.forget(call)
         self.core.counters[f"calls_{outcome.name.lower()}"] += 1
         self.core.note(TraceEvent.CALL_ENDED, call=call.ident, exchange=at, reason=outcome.name)
@@ -136,7 +136,7 @@
 
     def stood_before(self, exchange: Exchange, before_us: int) -> list[Call]:
         """The calls that stood at an exchange before a moment, by id."""
-        calls = (self.by_id[ident] for ident in sorted(exchange.standing))
+        calls = (self.by_id[ident] for ident in sorted(exchange.standing_calls))
         return [call for call in calls if call.stood_us < before_us]
 
     def end_unheard(self, exchange: Exchange, calls: list[Call], why: str) -> None:
@@ -155,7 +155,7 @@
     def note_cut(self, exchange: Exchange, cut: list[Call], why: str) -> None:
         """Record which calls are over with their exchange; the log names the first of them."""
         shown = " ".join(f"{call.ident:016x}" for call in cut[:MAX_LOGGED_CALL_IDS])
-        quiet_ms = (self.core.now - exchange.heard_us) // 1000
+        quiet_ms = (self.core.now - exchange.last_received_us) // 1000
         text = f"{why}, last heard {quiet_ms} ms ago: {len(cut)} standing calls are over: {shown}"
         self.core.note(TraceEvent.EXCHANGE_DEAD, exchange=exchange.ident, reason=text)
 
@@ -178,6 +178,6 @@
             call = self.by_id[ident] = Call(SetUp(ident, "", 0, "", b""), 0, self.core.now)
             call.state = CALL.go(call.state, CallMove.ANSWER)
             call.stands_at, call.stood_us, call.unheard_us = exchange, self.core.now, self.core.now
-            self.exchanges.by_id[exchange].standing.add(ident)
+            self.exchanges.by_id[exchange].standing_calls.add(ident)
             # Its end may be told on the links of the process before, which are being closed.
             self.missed_ends.collect_soon(self.exchanges.by_id[exchange])
--- a/latchturn/session/channel.py
+++ b/latchturn/session/channel.py
@@ -29,7 +29,7 @@
         self.address = ("", 0)
         self.times_asked = 0
         self.lost = 0  # connections to it in a row that told nothing
-        self.heard_us = 0
+        self.last_received_us = 0
         self.answers = False  # whether the connection asked for last has told anything
 
     def follow(self, channel: tuple[str, int]) -> None:
@@ -37,7 +37,7 @@
         self.address = channel
         self.times_asked += 1
         self.answers = False
-        self.heard_us = self.core.now
+        self.last_received_us = self.core.now
         self.core.note(TraceEvent.CHANNEL_ASKED, reason=f"{channel[0]}:{channel[1]} after event {self.cursor}")
         timeout_us = self._grown(CHANNEL_CONNECT_TIMEOUT_US, CHANNEL_CONNECT_TIMEOUT_MAX_US)
         self.core.effects.append(Follow(channel, self.cursor, timeout_us))
@@ -60,11 +60,11 @@
         """A frame has come, empty or not."""
         if not self.answers:
             self.core.note(TraceEvent.CHANNEL_TOLD, reason=f"event {number}, after {self.lost} that told nothing")
-        self.answers, self.lost, self.heard_us = True, 0, self.core.now
+        self.answers, self.lost, self.last_received_us = True, 0, self.core.now
 
     def check(self) -> None:
         """Now and then: give up a connection that has fallen silent."""
-        if self.core.now - self.heard_us <= self._grown(CHANNEL_SILENCE_US, CHANNEL_SILENCE_MAX_US):
+        if self.core.now - self.last_received_us <= self._grown(CHANNEL_SILENCE_US, CHANNEL_SILENCE_MAX_US):
             return
         self.core.counters["channel_silent"] += 1
         self.core.note(TraceEvent.CHANNEL_LOST, reason=f"silent; {self.lost} before it told nothing")
--- a/latchturn/session/exchanges.py
+++ b/latchturn/session/exchanges.py
@@ -22,7 +22,7 @@
 from .limits import EXCHANGE_RELEASE_TTL_US, GROUP_STATE_SPREAD_US
 from .machines import CALL, AttemptState, CallMove
 from .part import Part
-from .state import Attempt, Call, Exchange, Link, SeenGroupState
+from .state import Attempt, Call, Exchange, Link, ReceivedGroupState
 from .trace import CloseReason, TraceEvent
 
 NOTES = {
@@ -68,8 +68,8 @@
                         told.append(i.ListEntry(other.ident, other.number, other.state, other.started_us))
                 known = self.by_id[entry.exchange] = Exchange(
                     entry.exchange, entry.number, entry.state, entry.started_us, listed.address,
-                    heard_us=self.core.now,
-                    alive_us=self.core.now,
+                    last_received_us=self.core.now,
+                    last_alive_us=self.core.now,
                 )  # fmt: skip
             told.append(entry)
             self.core.note(TraceEvent.EXCHANGE_LISTED, exchange=entry.exchange, reason=entry.state.name)
@@ -77,7 +77,7 @@
                 self.calls.cut(known, entry.started_us, "has started anew")
             known.state, known.started_us = entry.state, entry.started_us
             if entry.state is i.ListState.READY:
-                known.refused_us = 0
+                known.refusing_since_us = 0
             elif entry.state is i.ListState.DRAINING:
                 self.take_back(known)
             if listed.address != known.address:
@@ -120,17 +120,17 @@
         if link is not None:
             self.writing.queue(link, release)
         elif exchange.state is not i.ListState.GONE:
-            exchange.unsent.append((self.core.now + EXCHANGE_RELEASE_TTL_US, release))
+            exchange.unsent_releases.append((self.core.now + EXCHANGE_RELEASE_TTL_US, release))
 
     def heard(self, link: Link, message: Message) -> None:
-        exchange = self.by_id[link.exchange]
-        exchange.failures = 0
+        exchange = self.by_id[link.exchange_id]
+        exchange.consecutive_failures = 0
         self.liveness.heard(exchange, link)
         link.half_us = link.half_us and self.core.now
-        link.heard_us, link.missed_us, link.mute = self.core.now, 0, 0
-        is_first_word = not link.first_heard_us
+        link.last_received_us, link.group_state_missing_since_us, link.unanswered_timeouts = self.core.now, 0, 0
+        is_first_word = not link.first_received_us
         if is_first_word:
-            link.first_heard_us = self.core.now
+            link.first_received_us = self.core.now
             self.missed_ends.first_word(exchange, link)
         call = self.calls.by_id.get(message.call)
         attempt = call.attempt if call is not None else None
@@ -164,7 +164,7 @@
 
         Guards against passing on a description that no exchange made: with the answer spoilt, its attempt ends as cut.
         """
-        calls = {answer.call, *exchange.standing, *(attempt.call.ident for attempt in link.attempts)}
+        calls = {answer.call, *exchange.standing_calls, *(attempt.call.ident for attempt in link.attempts)}
         return holds_head_of_message(answer.description, calls)
 
     def is_copy(self, exchange: Exchange, link: Link, figures: Mapping[str, float]) -> bool:
@@ -172,15 +172,15 @@
 
         Guards against circuits that are counted as free once more, after a call has been sent to them.
         """
-        told = exchange.group_states
-        while told and told[0].at_us < self.core.now - GROUP_STATE_SPREAD_US:
+        told = exchange.recent_group_states
+        while told and told[0].received_us < self.core.now - GROUP_STATE_SPREAD_US:
             told.popleft()
         for state in told:
             if link.ident not in state.links and state.figures == figures:
                 state.links.add(link.ident)
                 self.core.counters["group_states_copied"] += 1
                 return True
-        told.append(SeenGroupState(self.core.now, figures, {link.ident}))
+        told.append(ReceivedGroupState(self.core.now, figures, {link.ident}))
         return False
 
     def tell_report(self, exchange: Exchange, figures: Mapping[str, float]) -> None:
@@ -194,7 +194,7 @@
             call = self.calls.by_id.get(answer.call)
             at = None
             if call is not None:
-                at = call.attempt.link.exchange if call.attempt is not None else call.stands_at
+                at = call.attempt.link.exchange_id if call.attempt is not None else call.stands_at
             if at != exchange.ident:
                 self.writing.queue(link, Release(answer.call, ReleaseCause.NORMAL))
             return
@@ -206,7 +206,7 @@
         call.state = CALL.go(call.state, CallMove.ANSWER)
         call.stands_at, call.stood_us, call.link = exchange.ident, self.core.now, link.ident
         self.calls.release_unsure(call)
-        exchange.standing.add(call.ident)
+        exchange.standing_calls.add(call.ident)
         self.core.events.append(
             i.CallStands(call.ident, attempt.number, exchange.ident, self.core.now - attempt.started_us)
         )
--- a/latchturn/session/housekeeping.py
+++ b/latchturn/session/housekeeping.py
@@ -78,14 +78,17 @@
 
     def _misses_group_states(self, link: Link) -> bool:
         """Whether a link has missed a group state for some time, while others go on to hear."""
-        links = self.exchanges.by_id[link.exchange].links.values()
-        return bool(link.missed_us) and max(k.heard_us for k in links) - link.missed_us > UNRESPONSIVE_US
+        links = self.exchanges.by_id[link.exchange_id].links.values()
+        return (
+            bool(link.group_state_missing_since_us)
+            and max(k.last_received_us for k in links) - link.group_state_missing_since_us > UNRESPONSIVE_US
+        )
 
     def _missed_its_turn(self, link: Link) -> bool:
         """Whether a link has never heard anything, while one that came up later has: exchanges speak first."""
-        links = self.exchanges.by_id[link.exchange].links.values()
-        later = [k.first_heard_us for k in links if k.up_us > link.up_us and k.first_heard_us]
-        return not link.heard_us and bool(later) and self.core.now - min(later) > UNRESPONSIVE_US
+        links = self.exchanges.by_id[link.exchange_id].links.values()
+        later = [k.first_received_us for k in links if k.up_since_us > link.up_since_us and k.first_received_us]
+        return not link.last_received_us and bool(later) and self.core.now - min(later) > UNRESPONSIVE_US
 
     def _check_caller(self, caller: Caller) -> None:
         """Close a connection whose message stays half read, or that has said nothing of use."""
@@ -107,7 +110,7 @@
     def _forget(self) -> None:
         """Drop releases that no link came up for, and the ids of calls that ended long ago."""
         for exchange in self.exchanges.by_id.values():
-            exchange.unsent = [kept for kept in exchange.unsent if kept[0] > self.core.now]
+            exchange.unsent_releases = [kept for kept in exchange.unsent_releases if kept[0] > self.core.now]
         over = self.calls.over
         while over and (first := next(iter(over.items())))[1].until_us <= self.core.now:
             del over[first[0]]
--- a/latchturn/session/links.py
+++ b/latchturn/session/links.py
@@ -31,21 +31,21 @@
     def expect_copies(self, exchange: Exchange, link: Link) -> None:
         """A new group state has been heard on a link: it comes on all the others as well."""
         for other in exchange.links.values():
-            if other is not link and other.up and not other.missed_us:
-                other.missed_us = self.core.now
+            if other is not link and other.up and not other.group_state_missing_since_us:
+                other.group_state_missing_since_us = self.core.now
 
     def keep(self, exchange: Exchange) -> None:
         """Have links to every exchange that can be used, one after the other: group states come on open links
         alone."""
         slot = next((k for k in range(KEPT_LINKS) if k not in exchange.links or not exchange.links[k].up), KEPT_LINKS)
         if self.exchanges.usable(exchange) and slot < KEPT_LINKS and slot not in exchange.links:
-            if self.core.now >= exchange.retry_us:
+            if self.core.now >= exchange.reconnect_due_us:
                 self.connect(exchange, slot)
             else:
-                self.timers.set(exchange.retry_us - self.core.now, TimerKind.RECONNECT, exchange)
+                self.timers.set(exchange.reconnect_due_us - self.core.now, TimerKind.RECONNECT, exchange)
 
     def connect(self, exchange: Exchange, slot: int) -> Link:
-        link = Link(self.next_stream, exchange=exchange.ident, slot=slot, asked_us=self.core.now)
+        link = Link(self.next_stream, exchange_id=exchange.ident, slot=slot, connect_started_us=self.core.now)
         self.next_stream -= 1
         self.by_stream[link.ident] = exchange.links[slot] = link
         self.core.counters["connects"] += 1
@@ -74,11 +74,11 @@
             self.core.effects.append(Close(stream))
             return
         link.move(StreamMove.CONNECTED)
-        self.core.note(TraceEvent.LINK_UP, exchange=link.exchange, stream=stream)
-        link.up_us = self.core.now
-        exchange = self.exchanges.by_id[link.exchange]
+        self.core.note(TraceEvent.LINK_UP, exchange=link.exchange_id, stream=stream)
+        link.up_since_us = self.core.now
+        exchange = self.exchanges.by_id[link.exchange_id]
         self.liveness.connected(exchange)
-        unsent, exchange.unsent = exchange.unsent, []
+        unsent, exchange.unsent_releases = exchange.unsent_releases, []
         for _, release in unsent:
             self.writing.queue(link, release)
         self.writing.ready[link.ident] = link
@@ -89,21 +89,21 @@
         if link is None:
             return
         self.core.counters["connects_refused" if refused else "connects_timed_out"] += 1
-        exchange = self.exchanges.by_id[link.exchange]
+        exchange = self.exchanges.by_id[link.exchange_id]
         self.writing.note_closed(link, CloseReason.CONNECT_REFUSED if refused else CloseReason.CONNECT_FAILED)
         self.lose(link, CloseReason.CONNECT_FAILED)
         self.liveness.connect_failed(exchange, link, refused)
 
     def lose(self, link: Link, reason: CloseReason) -> None:
         """The link is closed, and with that the set-ups on it are given up."""
-        exchange = self.exchanges.by_id[link.exchange]
+        exchange = self.exchanges.by_id[link.exchange_id]
         link.move(StreamMove.CLOSE)
         del self.by_stream[link.ident]
         del exchange.links[link.slot]
         for attempt in sorted(link.attempts, key=lambda a: a.call.ident):
             if (
                 not attempt.sent
-                and link.up_us
+                and link.up_since_us
                 and attempt.moves < MAX_ATTEMPT_MOVES
                 and self.exchanges.usable(exchange)
             ):
@@ -120,12 +120,12 @@
                 self.attempts.end(attempt, i.Outcome.TIMED_OUT if attempt.given_up else i.Outcome.CUT)
         for release in self.writing.unfinished_releases(link):
             self.exchanges.release(exchange, release)
-        if link.up_us:
+        if link.up_since_us:
             self.missed_ends.link_lost(exchange, link, reason)
         # The first reconnect follows at once: a refusal tells at once that the process has died.
         pause = 0
-        if exchange.failures:
-            pause = min(RECONNECT_MAX_US, RECONNECT_MIN_US << min(exchange.failures, 10))
-        exchange.failures += 1
-        exchange.retry_us = self.core.now + int(pause * self.core.random.uniform(0.5, 1.0))
+        if exchange.consecutive_failures:
+            pause = min(RECONNECT_MAX_US, RECONNECT_MIN_US << min(exchange.consecutive_failures, 10))
+        exchange.consecutive_failures += 1
+        exchange.reconnect_due_us = self.core.now + int(pause * self.core.random.uniform(0.5, 1.0))
         self.keep(exchange)
--- a/latchturn/session/liveness.py
+++ b/latchturn/session/liveness.py
@@ -5,8 +5,8 @@
 set-up that is written or a connection that stays open proves nothing: a hung process and a vanished machine allow all
 three. What breaks, is refused or times out only ever shortens the time until the conclusion, never sets it back.
 
-The conclusion is due within `SILENCE_LIMIT_US` of that message, whatever discovery does: the protocol gives 8 s from the
-end of a call that its exchange cannot tell, and the call may have ended right after the message.
+The conclusion is due within `SILENCE_LIMIT_US` of that message, whatever discovery does: the protocol gives 8 s from
+the end of a call that its exchange cannot tell, and the call may have ended right after the message.
 """
 
 from __future__ import annotations
@@ -36,8 +36,8 @@
 
     def heard(self, exchange: Exchange, link: Link) -> None:
         """A message has come on a link."""
-        exchange.heard_us = self.core.now
-        if exchange.outage_us and link.up_us >= exchange.outage_us:
+        exchange.last_received_us = self.core.now
+        if exchange.outage_since_us and link.up_since_us >= exchange.outage_since_us:
             # Guards against a new process at the address, which knows nothing of the calls of the one before.
             if not self._old_links(exchange):
                 self._lost_track(exchange, "answers again on new links alone")
@@ -47,16 +47,16 @@
     def connected(self, exchange: Exchange) -> None:
         """A link has come up. It proves something only of an exchange that sends no group states, by which
         any other process shows itself on each new link."""
-        exchange.link_broke = False
+        exchange.kept_link_broken = False
         if not exchange.sends_group_states:
-            exchange.heard_us = self.core.now
+            exchange.last_received_us = self.core.now
             self._prove(exchange)
 
     def _prove(self, exchange: Exchange) -> None:
         """The process at which the calls stand lives."""
-        exchange.alive_us, exchange.outage_us = self.core.now, 0
-        if exchange.quiet:
-            exchange.quiet = False
+        exchange.last_alive_us, exchange.outage_since_us = self.core.now, 0
+        if exchange.quiet_noted:
+            exchange.quiet_noted = False
             self.core.note(TraceEvent.EXCHANGE_HEARD, exchange=exchange.ident)
 
     def connect_failed(self, exchange: Exchange, link: Link, refused: bool) -> None:
@@ -66,12 +66,12 @@
             return
         idle = [other for other in exchange.links.values() if other.up]
         # One that refuses further links may only have enough of them, if another link still tells something.
-        silent = exchange.standing and self.core.now - exchange.alive_us >= PROBE_AFTER_US
-        if not (exchange.link_broke or not idle or silent):
+        silent = exchange.standing_calls and self.core.now - exchange.last_alive_us >= PROBE_AFTER_US
+        if not (exchange.kept_link_broken or not idle or silent):
             return
         if exchange.state is not i.ListState.READY:
             # One that drains takes no links, and its calls go on, but not for long.
-            exchange.refused_us = exchange.refused_us or self.core.now
+            exchange.refusing_since_us = exchange.refusing_since_us or self.core.now
             self._begin_outage(exchange, link)
             return
         # A link broke and nothing listens: the process has died, and its calls with it. Guards against
@@ -83,13 +83,13 @@
     @staticmethod
     def _begin_outage(exchange: Exchange, link: Link) -> None:
         """From the first connect that comes to nothing on, another process may come to have the address."""
-        if link.asked_us > exchange.alive_us:
-            exchange.outage_us = exchange.outage_us or link.asked_us
+        if link.connect_started_us > exchange.last_alive_us:
+            exchange.outage_since_us = exchange.outage_since_us or link.connect_started_us
 
     def broken(self, link: Link) -> None:
         """The peer ended a link. Those kept are reconnected at once, which tells whether it has died."""
         if link.slot < KEPT_LINKS:
-            self.exchanges.by_id[link.exchange].link_broke = True
+            self.exchanges.by_id[link.exchange_id].kept_link_broken = True
 
     def reset(self, link: Link) -> None:
         """The peer reset a link; called while the link is still entered.
@@ -97,48 +97,51 @@
         Guards against a process that dies and has another in its place before a connect could be refused: its
         links are reset together, and not for being idle. One that drains may end them and keep its calls.
         """
-        exchange = self.exchanges.by_id[link.exchange]
+        exchange = self.exchanges.by_id[link.exchange_id]
         others = any(other.up for other in exchange.links.values() if other is not link)
-        together = self.core.now - exchange.reset_us <= SIMULTANEOUS_RESET_US
-        busy = self.core.now - exchange.heard_us <= SIMULTANEOUS_RESET_US
-        exchange.reset_us = self.core.now
+        together = self.core.now - exchange.last_reset_us <= SIMULTANEOUS_RESET_US
+        busy = self.core.now - exchange.last_received_us <= SIMULTANEOUS_RESET_US
+        exchange.last_reset_us = self.core.now
         if exchange.state is not i.ListState.READY or not together or others:
             return
         if busy:
             self.calls.cut(exchange, self.core.now + 1, "reset all its links at once")
             return
         # Another machine may have the address of one that vanished, and reset what it does not know.
-        if not exchange.replaced_us:
-            exchange.replaced_heard_us = exchange.heard_us
-        exchange.replaced_us = self.core.now
+        if not exchange.all_links_reset_us:
+            exchange.received_before_reset_us = exchange.last_received_us
+        exchange.all_links_reset_us = self.core.now
 
     def ended(self, exchange: Exchange, call: Call) -> None:
         """An exchange has told the end of a call, which only the process at which it stood can do."""
-        if call.stood_us < exchange.replaced_us:
-            exchange.replaced_us = 0
+        if call.stood_us < exchange.all_links_reset_us:
+            exchange.all_links_reset_us = 0
 
     # --- conclusions ---
 
     def check(self, exchange: Exchange) -> None:
         """Now and then: ask an exchange that is quiet for a sign of life, and end its calls in time."""
-        if not exchange.standing:
-            exchange.replaced_us = 0
+        if not exchange.standing_calls:
+            exchange.all_links_reset_us = 0
             return
-        if exchange.replaced_us and self.core.now - exchange.replaced_heard_us >= SILENCE_LIMIT_US:
-            calls = self.calls.stood_before(exchange, exchange.replaced_us)
+        if exchange.all_links_reset_us and self.core.now - exchange.received_before_reset_us >= SILENCE_LIMIT_US:
+            calls = self.calls.stood_before(exchange, exchange.all_links_reset_us)
             self.calls.end_unheard(exchange, calls, "reset all its links after a silence, and has told no end since")
-            exchange.replaced_us = 0
-        silent_us = self.core.now - exchange.alive_us
+            exchange.all_links_reset_us = 0
+        silent_us = self.core.now - exchange.last_alive_us
         if silent_us >= SILENCE_LIMIT_US:
             self._silent(exchange)
-        elif exchange.refused_us and self.core.now - max(exchange.refused_us, exchange.alive_us) > DRAINED_AFTER_US:
+        elif (
+            exchange.refusing_since_us
+            and self.core.now - max(exchange.refusing_since_us, exchange.last_alive_us) > DRAINED_AFTER_US
+        ):
             self.calls.cut(exchange, self.core.now + 1, "has drained and refused links")
-        elif silent_us >= PROBE_AFTER_US and self.core.now - exchange.probed_us >= PROBE_INTERVAL_US:
+        elif silent_us >= PROBE_AFTER_US and self.core.now - exchange.last_probe_us >= PROBE_INTERVAL_US:
             self._probe(exchange)
 
     def _silent(self, exchange: Exchange) -> None:
         """Its calls are over, as far as their callers are concerned. Should it live, it is told so too."""
-        if exchange.outage_us and exchange.heard_us >= exchange.outage_us:
+        if exchange.outage_since_us and exchange.last_received_us >= exchange.outage_since_us:
             self._lost_track(exchange, "answers again on new links alone")
             return
         standing = self.calls.stood_before(exchange, self.core.now + 1)
@@ -149,22 +152,22 @@
 
     def _lost_track(self, exchange: Exchange, why: str) -> None:
         """The process that answers now may be another: calls from before its first link are over."""
-        self.calls.end_unheard(exchange, self.calls.stood_before(exchange, exchange.outage_us), why)
+        self.calls.end_unheard(exchange, self.calls.stood_before(exchange, exchange.outage_since_us), why)
         self._prove(exchange)
 
     def suspect(self, exchange: Exchange) -> None:
         """Set-ups time out unheard: see at once whether a new link hears more."""
-        if self.core.now - exchange.probed_us >= PROBE_INTERVAL_US:
-            exchange.probed_us = self.core.now
+        if self.core.now - exchange.last_probe_us >= PROBE_INTERVAL_US:
+            exchange.last_probe_us = self.core.now
             self.open_link(exchange)
 
     def _probe(self, exchange: Exchange) -> None:
         """Nothing has been heard for some time: a new link tells whether anybody is there."""
-        exchange.probed_us = self.core.now
-        if not exchange.quiet:
-            exchange.quiet = True
-            silent_ms = (self.core.now - exchange.alive_us) // 1000
-            reason = f"{len(exchange.standing)} calls stand, nothing heard for {silent_ms} ms"
+        exchange.last_probe_us = self.core.now
+        if not exchange.quiet_noted:
+            exchange.quiet_noted = True
+            silent_ms = (self.core.now - exchange.last_alive_us) // 1000
+            reason = f"{len(exchange.standing_calls)} calls stand, nothing heard for {silent_ms} ms"
             self.core.note(TraceEvent.EXCHANGE_QUIET, exchange=exchange.ident, reason=reason)
         self.open_link(exchange, may_close=True, unheard_us=SILENT_LINK_WAIT_US)
 
@@ -177,8 +180,8 @@
         that are open stay so: a hung exchange will speak on them when it goes on, and what it tells on one that it
         does not know to be closed is lost.
         """
-        unheard = [k for k in exchange.links.values() if exchange.sends_group_states and not k.heard_us]
-        waited_for = [k for k in unheard if self.core.now - k.up_us < unheard_us]
+        unheard = [k for k in exchange.links.values() if exchange.sends_group_states and not k.last_received_us]
+        waited_for = [k for k in unheard if self.core.now - k.up_since_us < unheard_us]
         if waited_for or any(not k.up for k in exchange.links.values()):
             return False
         slot = next((k for k in reversed(range(MAX_LINKS_PER_EXCHANGE)) if k not in exchange.links), None)
@@ -193,11 +196,11 @@
 
         Only of an exchange that has been quiet: on any other, what it is just sending on that link would be lost.
         """
-        needed = {self.calls.by_id[k].link for k in exchange.standing}
+        needed = {self.calls.by_id[k].link for k in exchange.standing_calls}
         idle = [k for k in exchange.links.values() if not (k.attempts or k.half_us or self.is_last_witness(k))]
         if not idle:
             return False
-        least = min(idle, key=lambda k: (k.ident in needed, k.slot < KEPT_LINKS, k.heard_us))
+        least = min(idle, key=lambda k: (k.ident in needed, k.slot < KEPT_LINKS, k.last_received_us))
         self.writing.drop(least, CloseReason.PROBED)
         if least.slot not in exchange.links:  # a kept one is opened anew by its close
             self.links.connect(exchange, least.slot)
@@ -206,11 +209,13 @@
     @staticmethod
     def _old_links(exchange: Exchange) -> list[Link]:
         """The links from before the outage, on which only the process from before can say anything."""
-        return [link for link in exchange.links.values() if link.up and link.up_us < exchange.outage_us]
+        return [link for link in exchange.links.values() if link.up and link.up_since_us < exchange.outage_since_us]
 
     def is_last_witness(self, link: Link) -> bool:
         """Whether a silent link is still of use: it is the last one on which an exchange where calls stand
         could show that it is still the same process."""
-        exchange = self.exchanges.by_id[link.exchange]
-        others = [k for k in exchange.links.values() if k is not link and k.up and k.up_us <= exchange.alive_us]
-        return bool(exchange.standing) and not others
+        exchange = self.exchanges.by_id[link.exchange_id]
+        others = [
+            k for k in exchange.links.values() if k is not link and k.up and k.up_since_us <= exchange.last_alive_us
+        ]
+        return bool(exchange.standing_calls) and not others
--- a/latchturn/session/missed_ends.py
+++ b/latchturn/session/missed_ends.py
@@ -27,7 +27,7 @@
 
     def stranded(self, exchange: Exchange) -> list[Call]:
         """The standing calls whose own link is no more, by id."""
-        calls = (self.calls.by_id[ident] for ident in sorted(exchange.standing))
+        calls = (self.calls.by_id[ident] for ident in sorted(exchange.standing_calls))
         return [call for call in calls if call.link not in self.links.by_stream]
 
     def link_lost(self, exchange: Exchange, link: Link, reason: CloseReason) -> None:
@@ -35,44 +35,44 @@
         opening_lost = not self._opening_heard(exchange, link, reason)
         if opening_lost:
             for known in self.exchanges.at_address(exchange.address):
-                known.lost_opening_us = max(known.lost_opening_us, link.up_us)
+                known.initial_messages_lost_us = max(known.initial_messages_lost_us, link.up_since_us)
         carried = [call for call in self.stranded(exchange) if call.link == link.ident]
         for call in carried:
-            call.unheard_us = max(call.stood_us, link.heard_us)
+            call.unheard_us = max(call.stood_us, link.last_received_us)
         if carried or (opening_lost and self._may_have_untold_ends(exchange)):
             self.collect_soon(exchange)
 
     def _opening_heard(self, exchange: Exchange, link: Link, reason: CloseReason) -> bool:
         """Whether all has been heard that an exchange says first on a new link: its group state, then ends of calls."""
         if not exchange.sends_group_states:
-            return self.core.now - link.up_us >= INITIAL_MESSAGES_US
-        if not link.first_heard_us:
+            return self.core.now - link.up_since_us >= INITIAL_MESSAGES_US
+        if not link.first_received_us:
             return False
-        return reason is CloseReason.PEER_ENDED or self.core.now - link.first_heard_us >= INITIAL_MESSAGES_US
+        return reason is CloseReason.PEER_ENDED or self.core.now - link.first_received_us >= INITIAL_MESSAGES_US
 
     def first_word(self, exchange: Exchange, link: Link) -> None:
         """A link is heard for the first time. An exchange that hung takes its connections, their ends and the ends of
         calls in any order as it goes on: what it tells after it took this link needs another one."""
-        if self.core.now - link.up_us >= LATE_FIRST_MESSAGE_US and self._may_have_untold_ends(exchange):
+        if self.core.now - link.up_since_us >= LATE_FIRST_MESSAGE_US and self._may_have_untold_ends(exchange):
             self.collect_soon(exchange)
 
     def collect_soon(self, exchange: Exchange) -> None:
         """Open a further link before long, on which ends that nobody has heard are told again."""
         soon_us = self.core.now + RECOVERY_DELAY_US
-        exchange.collect_us = min(exchange.collect_us or soon_us, soon_us)
+        exchange.recovery_due_us = min(exchange.recovery_due_us or soon_us, soon_us)
 
     def check(self, exchange: Exchange) -> None:
         """Now and then: open a link to hear ends, and end in time what no link may tell of any more."""
         due_us = self.core.now - SILENCE_LIMIT_US
-        suspected = [call for call in self.stranded(exchange) if call.unheard_us <= exchange.lost_opening_us]
+        suspected = [call for call in self.stranded(exchange) if call.unheard_us <= exchange.initial_messages_lost_us]
         missed = [call for call in suspected if call.unheard_us <= due_us]
         self.calls.end_unheard(exchange, missed, "may have been told over on links that are dead")
-        if not exchange.collect_us or self.core.now < exchange.collect_us:
+        if not exchange.recovery_due_us or self.core.now < exchange.recovery_due_us:
             return
         if not self._may_have_untold_ends(exchange):
-            exchange.collect_us = 0
+            exchange.recovery_due_us = 0
         elif self.liveness.open_link(exchange, may_close=self._speaks(exchange)):
-            exchange.collect_us = self.core.now + RECOVERY_INTERVAL_US if self.stranded(exchange) else 0
+            exchange.recovery_due_us = self.core.now + RECOVERY_INTERVAL_US if self.stranded(exchange) else 0
 
     def _may_have_untold_ends(self, exchange: Exchange) -> bool:
         """Whether the exchange may have told an end on a lost link: of a call that stands here without its link, or of
@@ -81,4 +81,4 @@
 
     def _speaks(self, exchange: Exchange) -> bool:
         """Whether the exchange has said something lately, so that it knows soon of a link that is closed."""
-        return self.core.now - exchange.heard_us < LATE_FIRST_MESSAGE_US
+        return self.core.now - exchange.last_received_us < LATE_FIRST_MESSAGE_US
--- a/latchturn/session/phases.py
+++ b/latchturn/session/phases.py
@@ -125,7 +125,8 @@
         if self.core.now - self.started_us >= READY_TIMEOUT_US:
             return True
         return all(
-            e.sends_group_states or e.failures or not self.exchanges.usable(e) for e in self.exchanges.by_id.values()
+            e.sends_group_states or e.consecutive_failures or not self.exchanges.usable(e)
+            for e in self.exchanges.by_id.values()
         )
 
     def drain(self, refuse_us: float, last_us: float) -> None:
--- a/latchturn/session/state.py
+++ b/latchturn/session/state.py
@@ -125,22 +125,22 @@
 
 @dataclass(slots=True, eq=False)
 class Link(Stream):
-    exchange: int = 0
+    exchange_id: int = 0
     slot: int = 0
     attempts: set[Attempt] = field(default_factory=set)
-    asked_us: int = 0  # when its connect began
-    up_us: int = 0  # since when it has been up
-    first_heard_us: int = 0  # when it first heard anything, 0 if it never has
-    heard_us: int = 0  # when it last did
-    missed_us: int = 0  # since when another link has heard a group state that this one has not
-    mute: int = 0  # attempts that timed out on it in a row with nothing heard
+    connect_started_us: int = 0  # when its connect began
+    up_since_us: int = 0  # since when it has been up
+    first_received_us: int = 0  # when it first heard anything, 0 if it never has
+    last_received_us: int = 0  # when it last did
+    group_state_missing_since_us: int = 0  # since when another link has heard a group state that this one has not
+    unanswered_timeouts: int = 0  # attempts that timed out on it in a row with nothing heard
 
 
 @dataclass(slots=True, eq=False)
-class SeenGroupState:
+class ReceivedGroupState:
     """A group state, and the links on which it has been heard."""
 
-    at_us: int
+    received_us: int
     figures: Mapping[str, float]
     links: set[int]
 
@@ -155,21 +155,21 @@
     started_us: int
     address: tuple[str, int]
     links: dict[int, Link] = field(default_factory=dict)
-    heard_us: int = 0  # when a message last came from its address, or it was entered
-    alive_us: int = 0  # when a message last came that proves it is still the same process
-    outage_us: int = 0  # when the first connect began that has timed out since then, else 0
-    quiet: bool = False  # whether it has been noted as quiet since then
-    probed_us: int = 0  # when a link was last opened for a sign of life
-    reset_us: int = 0  # when it last reset a link
-    replaced_us: int = 0  # when it reset all its links after a silence, 0 once it is known what that meant
-    replaced_heard_us: int = 0  # when it had been heard before that
-    lost_opening_us: int = 0  # when the latest link came up that was lost before what is said first had come
-    collect_us: int = 0  # when a link is to be opened to hear ends that were told on lost links, 0 if none is
-    failures: int = 0  # connections in a row that came to nothing
-    retry_us: int = 0
-    refused_us: int = 0  # since when it has refused links while it drains, else 0
-    link_broke: bool = False  # the peer ended the first link, and none has come up since
-    standing: set[int] = field(default_factory=set)
-    group_states: deque[SeenGroupState] = field(default_factory=deque)  # group states lately
+    last_received_us: int = 0  # when a message last came from its address, or it was entered
+    last_alive_us: int = 0  # when a message last came that proves it is still the same process
+    outage_since_us: int = 0  # when the first connect began that has timed out since then, else 0
+    quiet_noted: bool = False  # whether it has been noted as quiet since then
+    last_probe_us: int = 0  # when a link was last opened for a sign of life
+    last_reset_us: int = 0  # when it last reset a link
+    all_links_reset_us: int = 0  # when it reset all its links after a silence, 0 once it is known what that meant
+    received_before_reset_us: int = 0  # when it had been heard before that
+    initial_messages_lost_us: int = 0  # when the latest link came up that was lost before what is said first had come
+    recovery_due_us: int = 0  # when a link is to be opened to hear ends that were told on lost links, 0 if none is
+    consecutive_failures: int = 0  # connections in a row that came to nothing
+    reconnect_due_us: int = 0
+    refusing_since_us: int = 0  # since when it has refused links while it drains, else 0
+    kept_link_broken: bool = False  # the peer ended the first link, and none has come up since
+    standing_calls: set[int] = field(default_factory=set)
+    recent_group_states: deque[ReceivedGroupState] = field(default_factory=deque)  # group states lately
     sends_group_states: bool = False  # whether a group state has ever come
-    unsent: list[tuple[int, Release]] = field(default_factory=list)  # releases that wait for a link
+    unsent_releases: list[tuple[int, Release]] = field(default_factory=list)  # releases that wait for a link
--- a/latchturn/session/writing.py
+++ b/latchturn/session/writing.py
@@ -26,7 +26,7 @@
         releases = {m.call: m for m in (*lately, *waiting)}
         if isinstance(stream, Link):
             for ident in releases.keys() & self.calls.by_id.keys():
-                self.calls.by_id[ident].unsure.add(stream.exchange)
+                self.calls.by_id[ident].unsure.add(stream.exchange_id)
             return [m for ident, m in releases.items() if ident in self.calls.over]
         return [m for ident, m in releases.items() if ident in self.calls.over and self.calls.over[ident].stood]
 
@@ -35,7 +35,7 @@
         for as long as there is no other connection on which it could be sent again."""
         since = self.core.now - RECENT_WRITE_US
         if isinstance(stream, Link):
-            return max(min(since, stream.heard_us), self.core.now - CALLER_RELEASE_TTL_US)
+            return max(min(since, stream.last_received_us), self.core.now - CALLER_RELEASE_TTL_US)
         return since if self.end_notices.other_than(stream) else self.core.now - CALLER_RELEASE_TTL_US
 
     def settled_releases(self, stream: Caller | Link) -> list[int]:
@@ -132,7 +132,9 @@
         """Record and count why a stream is closed."""
         if isinstance(stream, Link):
             self.core.counters[f"links_closed.{reason.name.lower()}"] += 1
-            self.core.note(TraceEvent.LINK_CLOSED, exchange=stream.exchange, stream=stream.ident, reason=reason.value)
+            self.core.note(
+                TraceEvent.LINK_CLOSED, exchange=stream.exchange_id, stream=stream.ident, reason=reason.value
+            )
         else:
             self.core.counters[f"callers_closed.{reason.name.lower()}"] += 1
             self.core.note(TraceEvent.CALLER_CLOSED, stream=stream.ident, reason=reason.value)
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -35,7 +35,7 @@
                 written += desk.hear(1, set_up(call))
             for asked in desk.connects[done:]:
                 stream = asked.stream
-                if self.desk.session.links.by_stream[stream].exchange == 102:
+                if self.desk.session.links.by_stream[stream].exchange_id == 102:
                     desk.do(s.Connected(stream))
                     desk.hear(stream, group_state(20))
                 elif connects is not None:
@@ -81,7 +81,7 @@
         self.told_after()
         desk.pass_time(5 * SECOND)
         waiting = [c.stream for c in desk.connects if c.stream in desk.session.links.by_stream]
-        waiting = [k for k in waiting if desk.session.links.by_stream[k].exchange == 101]
+        waiting = [k for k in waiting if desk.session.links.by_stream[k].exchange_id == 101]
         written = [m for k in waiting if not desk.session.links.by_stream[k].up for m in desk.do(s.Connected(k))]
         self.assertIn(p.Release(5, p.ReleaseCause.NORMAL), [message for _, message in written])
 
@@ -239,7 +239,7 @@
 
     def come_up(self) -> None:
         for stream, link in list(self.desk.session.links.by_stream.items()):
-            if not link.up_us:
+            if not link.up_since_us:
                 self.desk.do(s.Connected(stream))
                 self.desk.hear(stream, group_state(9))
 
@@ -264,7 +264,7 @@
         desk = self.desk
         desk.stand(7)
         self.reset_after_silence()
-        new = next(k for k, link in desk.session.links.by_stream.items() if link.exchange == 101)
+        new = next(k for k, link in desk.session.links.by_stream.items() if link.exchange_id == 101)
         desk.hear(new, p.Release(7, p.ReleaseCause.NORMAL))
         self.pass_time_with_new_links(self.began + 3 * TOLD_US)
         self.assertIn(5, desk.session.calls.by_id)
--- a/tests/test_missed_ends.py
+++ b/tests/test_missed_ends.py
@@ -34,7 +34,7 @@
         desk, asked = self.desk, []
         for connect in desk.connects[self.answered :]:
             link = desk.session.links.by_stream.get(connect.stream)
-            if link is not None and not link.up_us:
+            if link is not None and not link.up_since_us:
                 desk.do(s.Connected(connect.stream))
                 asked.append(connect.stream)
                 if speaks:
@@ -146,7 +146,9 @@
         for connect in self.desk.connects[-2:]:
             self.desk.do(s.Connected(connect.stream))
             self.desk.hear(connect.stream, group_state(3))
-        self.links = {self.desk.session.links.by_stream[c.stream].exchange: c.stream for c in self.desk.connects[-2:]}
+        self.links = {
+            self.desk.session.links.by_stream[c.stream].exchange_id: c.stream for c in self.desk.connects[-2:]
+        }
         self.desk.pass_time_in_touch(SECOND)
         (stream, _), *_ = self.desk.hear(1, set_up(5, to=2))
         self.desk.hear(stream, p.Answer(5, b"yes"))
@@ -164,12 +166,16 @@
     def test_a_link_to_the_other_that_is_lost_in_the_queue_may_have_been_told_the_end(self) -> None:
         desk, began_us = self.desk, self.desk.now
         desk.do(s.Ended(self.links[102]))
-        coming = [k for k, link in desk.session.links.by_stream.items() if link.exchange == 102 and not link.up_us]
+        coming = [
+            k for k, link in desk.session.links.by_stream.items() if link.exchange_id == 102 and not link.up_since_us
+        ]
         for stream in coming:
             desk.do(s.Connected(stream))
             desk.hear(stream, group_state(4))
         desk.pass_time_in_touch(SECOND, SECOND // 4)
-        lost = next(k for k, link in desk.session.links.by_stream.items() if link.exchange == 101 and not link.up_us)
+        lost = next(
+            k for k, link in desk.session.links.by_stream.items() if link.exchange_id == 101 and not link.up_since_us
+        )
         desk.do(s.Connected(lost))
         desk.do(s.Closed(lost))
         written = desk.pass_time_in_touch(began_us + TOLD_US - desk.now, SECOND // 4)
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -308,7 +308,7 @@
     def released(self, written: list[tuple[int, p.Message]]) -> list[int]:
         far = self.desk.session.links.by_stream
         release = p.Release(5, GIVE_UP)
-        return [far[stream].exchange for stream, message in written if stream in far and message == release]
+        return [far[stream].exchange_id for stream, message in written if stream in far and message == release]
 
     def test_its_exchange_is_told_once_the_call_is_over(self) -> None:
         desk = self.desk
@@ -325,7 +325,7 @@
                 desk.hear(desk.second[1], group_state(0))
             desk.pass_time(SECOND // 2)
             attempt = desk.session.calls.by_id[5].attempt
-            self.assertEqual(attempt.link.exchange, 102 if direct_is_full else 101)
+            self.assertEqual(attempt.link.exchange_id, 102 if direct_is_full else 101)
             if not attempt.link.up:
                 desk.do(s.Connected(attempt.link.ident))
             self.assertEqual(self.released(desk.hear(attempt.link.ident, p.Answer(5, b"yes"))), told)
@@ -735,7 +735,7 @@
             began, heard = desk.now, False
             while desk.now < began + 20 * SECOND and not heard:
                 desk.pass_time(SECOND // 20)
-                asked = desk.session.channel.heard_us if not desk.session.channel.answers else desk.now
+                asked = desk.session.channel.last_received_us if not desk.session.channel.answers else desk.now
                 if len(desk.follows) > 1 and desk.now - asked >= late_us:
                     heard = True
             self.assertTrue(heard, f"{late_us}")
