--- a/latchturn/checking/plants.py
+++ b/latchturn/checking/plants.py
@@ -13,9 +13,21 @@
 from .. import interface as i
 from .. import protocol as p
 from ..brain import Controller
-from ..session import attempts, callers, calls, end_notices, exchanges, links, module, phases, reducer, timers, writing
+from ..session import (
+    attempts,
+    callers,
+    calls,
+    decision_module,
+    end_notices,
+    exchanges,
+    links,
+    phases,
+    reducer,
+    timers,
+    writing,
+)
+from ..session.inputs_and_effects import Close
 from ..session.timers import TimerKind
-from ..session.words import Close
 
 
 @dataclass(frozen=True)
@@ -342,7 +354,7 @@
     def make(old: Body) -> Body:
         def go_on(self: Any) -> Any:
             old(self)
-            self.core.effects[:] = [e for e in self.core.effects if type(e).__name__ != "Bequeath"]
+            self.core.effects[:] = [e for e in self.core.effects if type(e).__name__ != "HandOverCalls"]
 
         return go_on
 
@@ -401,7 +413,7 @@
     def make(old: Body) -> Body:
         return lambda s, event: None if isinstance(event, i.CallerLeft) else old(s, event)
 
-    _change(module.Module, "decide", make)
+    _change(decision_module.DecisionModule, "decide", make)
 
 
 @_fault("calls", "final answers go to the connection that spoke last")
--- a/latchturn/session/callers.py
+++ b/latchturn/session/callers.py
@@ -15,6 +15,8 @@
     ReleaseConfirmed,
     SetUp,
 )
+from .component import Component
+from .inputs_and_effects import Close, ForwardRelease
 from .limits import (
     DESCRIPTORS_PER_EXCHANGE,
     DRAIN_RETRY_AFTER_MS,
@@ -26,14 +28,12 @@
     RESERVED_DESCRIPTORS,
 )
 from .machines import StreamMove, StreamState
-from .part import Part
 from .phases import Phase
 from .state import Caller
 from .trace import CloseReason, TraceEvent
-from .words import Close, PassOn
 
 
-class Callers(Part):
+class Callers(Component):
     """Connections of callers."""
 
     def __init__(self) -> None:
@@ -172,7 +172,7 @@
                 self.writing.queue(caller, ReleaseConfirmed(message.call))
                 if message.call not in self.calls.over:
                     if self.phases.other_calls:
-                        self.core.effects.append(PassOn(message.call, message.cause))
+                        self.core.effects.append(ForwardRelease(message.call, message.cause))
                     self.fault(caller, "releases of unknown calls")
             else:
                 if call.stands_at is not None:
--- a/latchturn/session/channel.py
+++ b/latchturn/session/channel.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from .component import Component
+from .inputs_and_effects import ConnectChannel
 from .limits import (
     CHANNEL_CONNECT_TIMEOUT_MAX_US,
     CHANNEL_CONNECT_TIMEOUT_US,
@@ -10,13 +12,11 @@
     CHANNEL_SILENCE_US,
     CHANNEL_TIMEOUT_GROWTH,
 )
-from .part import Part
 from .timers import TimerKind
 from .trace import TraceEvent
-from .words import Follow
 
 
-class Channel(Part):
+class Channel(Component):
     """The command channel: when it is asked again, and for what.
 
     A change counts as told 6 s after discovery has it and can be reached, whatever came of earlier calls. So a
@@ -40,7 +40,7 @@
         self.last_received_us = self.core.now
         self.core.note(TraceEvent.CHANNEL_ASKED, reason=f"{channel[0]}:{channel[1]} after event {self.cursor}")
         timeout_us = self._grown(CHANNEL_CONNECT_TIMEOUT_US, CHANNEL_CONNECT_TIMEOUT_MAX_US)
-        self.core.effects.append(Follow(channel, self.cursor, timeout_us))
+        self.core.effects.append(ConnectChannel(channel, self.cursor, timeout_us))
 
     def move(self, channel: tuple[str, int]) -> None:
         """A new configuration names an address: another one is asked at once.
--- a/latchturn/session/end_notices.py
+++ b/latchturn/session/end_notices.py
@@ -9,6 +9,7 @@
 from collections import deque
 
 from ..protocol import Release
+from .component import Component
 from .limits import (
     CALLER_RELEASE_TTL_US,
     CONFIRMATION_TIMEOUT_US,
@@ -16,12 +17,11 @@
     MAX_RELEASE_RESENDS,
     RELEASE_HOLD_US,
 )
-from .part import Part
 from .state import Caller, Outgoing
 from .trace import TraceEvent
 
 
-class EndNotices(Part):
+class EndNotices(Component):
     """Sends the releases of calls that stood, again and another way where they may not have arrived."""
 
     def __init__(self) -> None:
--- a/latchturn/session/links.py
+++ b/latchturn/session/links.py
@@ -6,16 +6,16 @@
 from __future__ import annotations
 
 from .. import interface as i
+from .component import Component
+from .inputs_and_effects import Close, Connect
 from .limits import KEPT_LINKS, LINK_PARTIAL_TIMEOUT_US, MAX_ATTEMPT_MOVES, RECONNECT_MAX_US, RECONNECT_MIN_US
 from .machines import StreamMove
-from .part import Part
 from .state import Exchange, Link
 from .timers import TimerKind
 from .trace import CloseReason, TraceEvent
-from .words import Close, Connect
 
 
-class Links(Part):
+class Links(Component):
     """Links to exchanges: which are kept, how they come up and how they are lost."""
 
     def __init__(self) -> None:
--- a/latchturn/session/liveness.py
+++ b/latchturn/session/liveness.py
@@ -14,6 +14,7 @@
 import math
 
 from .. import interface as i
+from .component import Component
 from .limits import (
     DRAINED_AFTER_US,
     KEPT_LINKS,
@@ -24,12 +25,11 @@
     SILENT_LINK_WAIT_US,
     SIMULTANEOUS_RESET_US,
 )
-from .part import Part
 from .state import Call, Exchange, Link
 from .trace import CloseReason, TraceEvent
 
 
-class Liveness(Part):
+class Liveness(Component):
     """Decides when the calls that stand at an exchange are over."""
 
     # --- evidence ---
--- a/latchturn/session/missed_ends.py
+++ b/latchturn/session/missed_ends.py
@@ -9,6 +9,7 @@
 
 from __future__ import annotations
 
+from .component import Component
 from .limits import (
     INITIAL_MESSAGES_US,
     LATE_FIRST_MESSAGE_US,
@@ -17,12 +18,11 @@
     RECOVERY_INTERVAL_US,
     SILENCE_LIMIT_US,
 )
-from .part import Part
 from .state import Call, Exchange, Link
 from .trace import CloseReason
 
 
-class MissedEnds(Part):
+class MissedEnds(Component):
     """Hears of ends that were told on lost links, and ends the calls of which nothing may be heard any more."""
 
     def stranded(self, exchange: Exchange) -> list[Call]:
--- a/latchturn/session/phases.py
+++ b/latchturn/session/phases.py
@@ -8,6 +8,8 @@
 
 from .. import operations
 from ..protocol import ListUpdate
+from .component import Component
+from .inputs_and_effects import AcceptCallers, CloseIdle, Exit, HandOverCalls
 from .limits import (
     DRAIN_FORCE_CLOSE_US,
     DRAIN_INTERVAL_US,
@@ -26,10 +28,8 @@
     SWEEP_INTERVAL_US,
 )
 from .machines import PHASE, PhaseMove, PhaseState
-from .part import Part
 from .timers import TimerKind
 from .trace import CloseReason, TraceEvent
-from .words import Bequeath, CloseIdle, Exit, TakeCallers
 
 
 class Phase(Enum):
@@ -41,7 +41,7 @@
     ENDING = "ending"
 
 
-class Phases(Part):
+class Phases(Component):
     """The phases of the program: start, drain, end, and replacement on both sides of it."""
 
     def __init__(self) -> None:
@@ -88,7 +88,7 @@
         # Those that stand too: they have not ended. Two processes are one session controller.
         figures["outstanding"] = len(self.calls.by_id) + self.other_calls
         figures["discovered"] = len(self.exchanges.by_id)
-        figures["ejected"] = self.module.controller.avoided(self.core.now)
+        figures["ejected"] = self.decision_module.controller.avoided(self.core.now)
         return figures | {name: n for name, n in sorted(self.core.counters.items()) if name not in figures}
 
     def operate(self, command: operations.Command | None) -> bytes:
@@ -162,7 +162,7 @@
         self.move(PhaseMove.SUCCEED if serves else PhaseMove.RESUME)
         if self.term_us and not serves:
             return
-        self.core.effects.append(TakeCallers(not serves))
+        self.core.effects.append(AcceptCallers(not serves))
         if serves:
             self.core.log(f"succeeded: {len(self.callers.by_stream)} connections, {len(self.calls.by_id)} calls")
             self.drain(math.inf, math.inf)
@@ -175,7 +175,7 @@
         """The listener serves."""
         self.listening = True
         if not self.replaces:
-            self.core.effects.append(TakeCallers(True))
+            self.core.effects.append(AcceptCallers(True))
 
     def terminate(self) -> None:
         """SIGTERM: say by when all that is open is answered."""
@@ -211,11 +211,11 @@
         if self.replaces and not self.term_us and self.is_ready():
             self.replaces = False
             self.core.log("ready: this process takes over")
-            self.core.effects.append(TakeCallers(True))
+            self.core.effects.append(AcceptCallers(True))
         if self.term_us and self.state is not PhaseState.EXITED and self.closed_for_the_end():
             if self.succeeded:
                 standing = [(c.ident, c.stands_at) for c in self.calls.by_id.values()]
-                self.core.effects.append(Bequeath(tuple((k, at) for k, at in standing if at is not None)))
+                self.core.effects.append(HandOverCalls(tuple((k, at) for k, at in standing if at is not None)))
             self.move(PhaseMove.EXIT)
             self.core.effects.append(Exit())
 
