--- a/latchturn/session/attempts.py
+++ b/latchturn/session/attempts.py
@@ -5,7 +5,7 @@
 from .. import interface as i
 from ..protocol import SetUp
 from .component import Component
-from .limits import GIVE_UP_STUCK_US, MUTE_MOST, MUTE_US, SLOTS
+from .limits import GIVE_UP_TIMEOUT_US, MAX_LINKS_PER_EXCHANGE, MAX_UNANSWERED_TIMEOUTS, UNRESPONSIVE_US
 from .machines import ATTEMPT, AttemptMove
 from .state import Attempt, Call, Exchange, GiveUpDue
 from .timers import TimerKind
@@ -42,8 +42,8 @@
         the same on each and a late answer to an earlier one could not be told from its own. Links that are
         half read come last, since what is behind a spoilt message is lost, and so do those on which the last attempt
         timed out unheard."""
-        free = [k for k in range(SLOTS) if (exchange.ident, k) not in call.used]
-        poor = {k for k, link in exchange.links.items() if link.half_us or link.mute}
+        free = [k for k in range(MAX_LINKS_PER_EXCHANGE) if (exchange.ident, k) not in call.used]
+        poor = {k for k, link in exchange.links.items() if link.half_us or link.unanswered_timeouts}
         return next((k for k in free if k not in poor), free[0] if free else None)
 
     def timed_out(self, attempt: Attempt) -> None:
@@ -52,16 +52,18 @@
             return
         attempt.state = ATTEMPT.go(attempt.state, AttemptMove.TIME_OUT)
         link = attempt.link
-        link.mute = link.mute + 1 if link.heard_us < attempt.sent_us else 0
-        others = [k.heard_us for k in self.exchanges.by_id[link.exchange].links.values() if k is not link and k.up]
-        if link.mute and self.is_mute(attempt, others):
+        link.unanswered_timeouts = link.unanswered_timeouts + 1 if link.last_received_us < attempt.sent_us else 0
+        others = [
+            k.last_received_us for k in self.exchanges.by_id[link.exchange_id].links.values() if k is not link and k.up
+        ]
+        if link.unanswered_timeouts and self.is_mute(attempt, others):
             self.links.drop_mute(link)
             return
-        if link.mute:
-            self.liveness.suspect(self.exchanges.by_id[link.exchange])
+        if link.unanswered_timeouts:
+            self.liveness.suspect(self.exchanges.by_id[link.exchange_id])
         # The give-up leaves before the module hears of the time-out, so that no two attempts are ever out.
         self.writing.queue(attempt.link, GiveUpDue(attempt))
-        attempt.timer = self.timers.set(GIVE_UP_STUCK_US, TimerKind.GIVE_UP, attempt)
+        attempt.timer = self.timers.set(GIVE_UP_TIMEOUT_US, TimerKind.GIVE_UP, attempt)
 
     def is_mute(self, attempt: Attempt, others_heard_us: list[int]) -> bool:
         """Whether a link on which nothing has been heard since an attempt left is of no use any more: others have
@@ -69,8 +71,8 @@
         if self.liveness.is_last_witness(attempt.link):
             return False
         if others_heard_us:
-            return max(others_heard_us) > attempt.sent_us + MUTE_US
-        return attempt.link.mute >= MUTE_MOST
+            return max(others_heard_us) > attempt.sent_us + UNRESPONSIVE_US
+        return attempt.link.unanswered_timeouts >= MAX_UNANSWERED_TIMEOUTS
 
     def end(
         self,
@@ -85,12 +87,12 @@
         self.give_back(attempt)
         self.core.counters[f"attempts_{outcome.name.lower()}"] += 1
         self.core.note(
-            TraceEvent.ATTEMPT_ENDED, call=call.ident, exchange=attempt.link.exchange,
+            TraceEvent.ATTEMPT_ENDED, call=call.ident, exchange=attempt.link.exchange_id,
             stream=attempt.link.ident, reason=outcome.name,
         )  # fmt: skip
         self.core.events.append(
             i.AttemptEnded(
-                call.ident, attempt.number, attempt.link.exchange, outcome,
+                call.ident, attempt.number, attempt.link.exchange_id, outcome,
                 self.core.now - attempt.started_us, concluded, cause, 0, report,
             )
         )  # fmt: skip
@@ -107,13 +109,13 @@
         call = attempt.call
         if call.attempt is not attempt or self.core.now >= attempt.due_us:
             return None
-        if self.exchanges.by_id[attempt.link.exchange].state is not i.ListState.READY:
+        if self.exchanges.by_id[attempt.link.exchange_id].state is not i.ListState.READY:
             self.end(attempt, i.Outcome.NOT_SENT)
             return None
         attempt.state = ATTEMPT.go(attempt.state, AttemptMove.LEAVE)
         attempt.sent_us = self.core.now
         self.core.note(
-            TraceEvent.ATTEMPT_SENT, call=call.ident, exchange=attempt.link.exchange, stream=attempt.link.ident
+            TraceEvent.ATTEMPT_SENT, call=call.ident, exchange=attempt.link.exchange_id, stream=attempt.link.ident
         )
         wait_ms = max(1, (attempt.due_us - self.core.now) // 1000)
         old = call.set_up
--- a/latchturn/session/links.py
+++ b/latchturn/session/links.py
@@ -8,7 +8,7 @@
 from .. import interface as i
 from .component import Component
 from .inputs_and_effects import Close, Connect
-from .limits import KEPT, LINK_HALF_READ_US, MOVES_MOST, RECONNECT_FIRST_US, RECONNECT_MOST_US
+from .limits import KEPT_LINKS, LINK_PARTIAL_TIMEOUT_US, MAX_ATTEMPT_MOVES, RECONNECT_MAX_US, RECONNECT_MIN_US
 from .machines import StreamMove
 from .state import Exchange, Link
 from .timers import TimerKind
@@ -31,21 +31,21 @@
     def expect_copies(self, exchange: Exchange, link: Link) -> None:
         """A new group state has been heard on a link: it comes on all the others as well."""
         for other in exchange.links.values():
-            if other is not link and other.up and not other.missed_us:
-                other.missed_us = self.core.now
+            if other is not link and other.up and not other.group_state_missing_since_us:
+                other.group_state_missing_since_us = self.core.now
 
     def keep(self, exchange: Exchange) -> None:
         """Have links to every exchange that can be used, one after the other: group states come on open links
         alone."""
-        slot = next((k for k in range(KEPT) if k not in exchange.links or not exchange.links[k].up), KEPT)
-        if self.exchanges.usable(exchange) and slot < KEPT and slot not in exchange.links:
-            if self.core.now >= exchange.retry_us:
+        slot = next((k for k in range(KEPT_LINKS) if k not in exchange.links or not exchange.links[k].up), KEPT_LINKS)
+        if self.exchanges.usable(exchange) and slot < KEPT_LINKS and slot not in exchange.links:
+            if self.core.now >= exchange.reconnect_due_us:
                 self.connect(exchange, slot)
             else:
-                self.timers.set(exchange.retry_us - self.core.now, TimerKind.RECONNECT, exchange)
+                self.timers.set(exchange.reconnect_due_us - self.core.now, TimerKind.RECONNECT, exchange)
 
     def connect(self, exchange: Exchange, slot: int) -> Link:
-        link = Link(self.next_stream, exchange=exchange.ident, slot=slot, asked_us=self.core.now)
+        link = Link(self.next_stream, exchange_id=exchange.ident, slot=slot, connect_started_us=self.core.now)
         self.next_stream -= 1
         self.by_stream[link.ident] = exchange.links[slot] = link
         self.core.counters["connects"] += 1
@@ -57,11 +57,11 @@
         began = half and not link.half_us
         link.half_us = (link.half_us or self.core.now) if half else 0
         if began:
-            self.timers.set(LINK_HALF_READ_US, TimerKind.HALF_READ, link)
+            self.timers.set(LINK_PARTIAL_TIMEOUT_US, TimerKind.HALF_READ, link)
 
     def half_read_long(self, link: Link) -> None:
         """Guards the set-ups that would follow onto a link on which nothing more can be read."""
-        left = link.half_us + LINK_HALF_READ_US - self.core.now
+        left = link.half_us + LINK_PARTIAL_TIMEOUT_US - self.core.now
         if left <= 0:
             self.core.counters["links_half_read"] += 1
             self.writing.drop(link, CloseReason.HALF_READ)
@@ -74,11 +74,11 @@
             self.core.effects.append(Close(stream))
             return
         link.move(StreamMove.CONNECTED)
-        self.core.note(TraceEvent.LINK_UP, exchange=link.exchange, stream=stream)
-        link.up_us = self.core.now
-        exchange = self.exchanges.by_id[link.exchange]
+        self.core.note(TraceEvent.LINK_UP, exchange=link.exchange_id, stream=stream)
+        link.up_since_us = self.core.now
+        exchange = self.exchanges.by_id[link.exchange_id]
         self.liveness.connected(exchange)
-        unsent, exchange.unsent = exchange.unsent, []
+        unsent, exchange.unsent_releases = exchange.unsent_releases, []
         for _, release in unsent:
             self.writing.queue(link, release)
         self.writing.ready[link.ident] = link
@@ -89,19 +89,24 @@
         if link is None:
             return
         self.core.counters["connects_refused" if refused else "connects_timed_out"] += 1
-        exchange = self.exchanges.by_id[link.exchange]
+        exchange = self.exchanges.by_id[link.exchange_id]
         self.writing.note_closed(link, CloseReason.CONNECT_REFUSED if refused else CloseReason.CONNECT_FAILED)
         self.lose(link, CloseReason.CONNECT_FAILED)
         self.liveness.connect_failed(exchange, link, refused)
 
     def lose(self, link: Link, reason: CloseReason) -> None:
         """The link is closed, and with that the set-ups on it are given up."""
-        exchange = self.exchanges.by_id[link.exchange]
+        exchange = self.exchanges.by_id[link.exchange_id]
         link.move(StreamMove.CLOSE)
         del self.by_stream[link.ident]
         del exchange.links[link.slot]
         for attempt in sorted(link.attempts, key=lambda a: a.call.ident):
-            if not attempt.sent and link.up_us and attempt.moves < MOVES_MOST and self.exchanges.usable(exchange):
+            if (
+                not attempt.sent
+                and link.up_since_us
+                and attempt.moves < MAX_ATTEMPT_MOVES
+                and self.exchanges.usable(exchange)
+            ):
                 # Guards against taking the reset of a new or idle link for a dead exchange: nothing has left,
                 # so the attempt goes on over another link.
                 attempt.moves += 1
@@ -115,12 +120,12 @@
                 self.attempts.end(attempt, i.Outcome.TIMED_OUT if attempt.given_up else i.Outcome.CUT)
         for release in self.writing.unfinished_releases(link):
             self.exchanges.release(exchange, release)
-        if link.up_us:
+        if link.up_since_us:
             self.missed_ends.link_lost(exchange, link, reason)
         # The first reconnect follows at once: a refusal tells at once that the process has died.
         pause = 0
-        if exchange.failures:
-            pause = min(RECONNECT_MOST_US, RECONNECT_FIRST_US << min(exchange.failures, 10))
-        exchange.failures += 1
-        exchange.retry_us = self.core.now + int(pause * self.core.random.uniform(0.5, 1.0))
+        if exchange.consecutive_failures:
+            pause = min(RECONNECT_MAX_US, RECONNECT_MIN_US << min(exchange.consecutive_failures, 10))
+        exchange.consecutive_failures += 1
+        exchange.reconnect_due_us = self.core.now + int(pause * self.core.random.uniform(0.5, 1.0))
         self.keep(exchange)
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -35,7 +35,7 @@
                 written += desk.hear(1, set_up(call))
             for asked in desk.connects[done:]:
                 stream = asked.stream
-                if self.desk.session.links.by_stream[stream].exchange == 102:
+                if self.desk.session.links.by_stream[stream].exchange_id == 102:
                     desk.do(s.Connected(stream))
                     desk.hear(stream, group_state(20))
                 elif connects is not None:
@@ -81,7 +81,7 @@
         self.told_after()
         desk.pass_time(5 * SECOND)
         waiting = [c.stream for c in desk.connects if c.stream in desk.session.links.by_stream]
-        waiting = [k for k in waiting if desk.session.links.by_stream[k].exchange == 101]
+        waiting = [k for k in waiting if desk.session.links.by_stream[k].exchange_id == 101]
         written = [m for k in waiting if not desk.session.links.by_stream[k].up for m in desk.do(s.Connected(k))]
         self.assertIn(p.Release(5, p.ReleaseCause.NORMAL), [message for _, message in written])
 
@@ -115,7 +115,7 @@
 
     def test_a_cut_that_heals_keeps_its_calls_if_a_link_from_before_speaks(self) -> None:
         desk = self.desk
-        desk.pass_time(limits.PROBE_AFTER_US + limits.SWEEP_US)
+        desk.pass_time(limits.PROBE_AFTER_US + limits.SWEEP_INTERVAL_US)
         desk.do(s.ConnectFailed(desk.connects[-1].stream, False))
         desk.pass_time(SECOND)
         witness = desk.link[1]
@@ -150,7 +150,7 @@
     def test_ends_that_may_be_told_on_a_link_that_we_closed_are_asked_for_on_a_new_one(self) -> None:
         desk = self.desk
         desk.do(s.PartialMessage(desk.link[1], True))
-        desk.pass_time(limits.LINK_HALF_READ_US)
+        desk.pass_time(limits.LINK_PARTIAL_TIMEOUT_US)
         self.assertEqual(desk.closed, [desk.link[1]])
         desk.do(s.Connected(desk.connects[-1].stream))
         desk.hear(desk.connects[-1].stream, group_state(3))
@@ -203,7 +203,7 @@
         desk.hear(new, group_state(6))
         desk.pass_time(SECOND)
         desk.hear(new, p.Progress(5))
-        desk.pass_time(limits.SWEEP_US)
+        desk.pass_time(limits.SWEEP_INTERVAL_US)
         self.assertEqual(desk.closed, [])
 
     def test_a_hung_exchange_keeps_its_links_though_set_ups_time_out_on_them(self) -> None:
@@ -239,7 +239,7 @@
 
     def come_up(self) -> None:
         for stream, link in list(self.desk.session.links.by_stream.items()):
-            if not link.up_us:
+            if not link.up_since_us:
                 self.desk.do(s.Connected(stream))
                 self.desk.hear(stream, group_state(9))
 
@@ -264,7 +264,7 @@
         desk = self.desk
         desk.stand(7)
         self.reset_after_silence()
-        new = next(k for k, link in desk.session.links.by_stream.items() if link.exchange == 101)
+        new = next(k for k, link in desk.session.links.by_stream.items() if link.exchange_id == 101)
         desk.hear(new, p.Release(7, p.ReleaseCause.NORMAL))
         self.pass_time_with_new_links(self.began + 3 * TOLD_US)
         self.assertIn(5, desk.session.calls.by_id)
@@ -279,9 +279,9 @@
     def silent_then_new(self) -> list[tuple[int, p.Message]]:
         """No connect comes up for a time, then a new link speaks."""
         desk = self.desk
-        desk.pass_time(limits.PROBE_AFTER_US + limits.SWEEP_US)
+        desk.pass_time(limits.PROBE_AFTER_US + limits.SWEEP_INTERVAL_US)
         desk.do(s.ConnectFailed(desk.connects[-1].stream, False))
-        desk.pass_time(limits.PROBE_EVERY_US + limits.SWEEP_US)
+        desk.pass_time(limits.PROBE_INTERVAL_US + limits.SWEEP_INTERVAL_US)
         self.new = desk.connects[-1].stream
         return desk.do(s.Connected(self.new)) + desk.hear(self.new, group_state(40))
 
@@ -315,7 +315,7 @@
             self.assertNotIn((1, END), written)
             if heard:
                 desk.hear(desk.link[1], group_state(7))
-            written = desk.pass_time(2 * limits.SWEEP_US)
+            written = desk.pass_time(2 * limits.SWEEP_INTERVAL_US)
             self.assertEqual((1, END) in written, not heard)
 
     def test_sweeps_that_are_always_late_conclude_all_the_same(self) -> None:
