--- a/latchturn/session/calls.py
+++ b/latchturn/session/calls.py
@@ -5,7 +5,7 @@
 from .. import interface as i
 from ..protocol import Answer, Release, ReleaseCause, SetUp, settings_word
 from .component import Component
-from .limits import CUT_CALLS_LOGGED, DEADLINE_MARGIN_US, FORGET_US, OVER_MOST, OVERDUE_US
+from .limits import DEADLINE_MARGIN_US, DEADLINE_OVERRUN_US, ENDED_CALL_TTL_US, MAX_LOGGED_CALL_IDS, MAX_REMEMBERED_IDS
 from .machines import CALL, CallMove
 from .state import Call, Caller, Exchange, Over
 from .timers import TimerKind
@@ -31,19 +31,19 @@
         caller.owed.add(set_up.call)
         self.core.note(TraceEvent.CALL_TAKEN, call=set_up.call, stream=caller.ident)
         self.over.pop(set_up.call, None)
-        call.timer = self.timers.set(deadline + OVERDUE_US - self.core.now, TimerKind.DEADLINE, call)
+        call.timer = self.timers.set(deadline + DEADLINE_OVERRUN_US - self.core.now, TimerKind.DEADLINE, call)
         figures = set_up.figures
         self.core.events.append(
             i.CallOffered(
                 call=set_up.call,
                 class_index=self.classes.by_name[settings_word(set_up.class_name)],
                 destination=figures["dest"],
-                called=int(set_up.called, 16),
+                called_number=int(set_up.called, 16),
                 width=figures["width"],
                 deadline_us=deadline,
                 transit=figures.get("transit", 0) == 1,
                 cut_before=figures.get("again", 0) == 1,
-                advised=figures.get("via", -1),
+                via=figures.get("via", -1),
             )
         )
 
@@ -108,19 +108,19 @@
 
     def remember_ended(self, ident: int, stood: bool, answered: bool) -> None:
         self.over.pop(ident, None)
-        self.over[ident] = Over(self.core.now + FORGET_US, stood, answered)
+        self.over[ident] = Over(self.core.now + ENDED_CALL_TTL_US, stood, answered)
 
     def remember_answered(self, ident: int) -> None:
         """Guards against a second answer under the id of a set-up that was turned down as it came. Not while
         a flood has filled what is remembered."""
-        if ident and len(self.over) < OVER_MOST:
+        if ident and len(self.over) < MAX_REMEMBERED_IDS:
             self.remember_ended(ident, False, True)
 
-    def end_standing(self, call: Call, outcome: i.Outcome, report: i.Report | None = None) -> None:
+    def end_standing(self, call: Call, outcome: i.Outcome, report: i.LoadReport | None = None) -> None:
         """A call that stood is over."""
         at = call.stands_at
         assert at is not None
-        self.exchanges.by_id[at].standing.discard(call.ident)
+        self.exchanges.by_id[at].standing_calls.discard(call.ident)
         self.forget(call)
         self.core.counters[f"calls_{outcome.name.lower()}"] += 1
         self.core.note(TraceEvent.CALL_ENDED, call=call.ident, exchange=at, reason=outcome.name)
@@ -136,7 +136,7 @@
 
     def stood_before(self, exchange: Exchange, before_us: int) -> list[Call]:
         """The calls that stood at an exchange before a moment, by id."""
-        calls = (self.by_id[ident] for ident in sorted(exchange.standing))
+        calls = (self.by_id[ident] for ident in sorted(exchange.standing_calls))
         return [call for call in calls if call.stood_us < before_us]
 
     def end_unheard(self, exchange: Exchange, calls: list[Call], why: str) -> None:
@@ -154,8 +154,8 @@
 
     def note_cut(self, exchange: Exchange, cut: list[Call], why: str) -> None:
         """Record which calls are over with their exchange; the log names the first of them."""
-        shown = " ".join(f"{call.ident:016x}" for call in cut[:CUT_CALLS_LOGGED])
-        quiet_ms = (self.core.now - exchange.heard_us) // 1000
+        shown = " ".join(f"{call.ident:016x}" for call in cut[:MAX_LOGGED_CALL_IDS])
+        quiet_ms = (self.core.now - exchange.last_received_us) // 1000
         text = f"{why}, last heard {quiet_ms} ms ago: {len(cut)} standing calls are over: {shown}"
         self.core.note(TraceEvent.EXCHANGE_DEAD, exchange=exchange.ident, reason=text)
 
@@ -178,6 +178,6 @@
             call = self.by_id[ident] = Call(SetUp(ident, "", 0, "", b""), 0, self.core.now)
             call.state = CALL.go(call.state, CallMove.ANSWER)
             call.stands_at, call.stood_us, call.unheard_us = exchange, self.core.now, self.core.now
-            self.exchanges.by_id[exchange].standing.add(ident)
+            self.exchanges.by_id[exchange].standing_calls.add(ident)
             # Its end may be told on the links of the process before, which are being closed.
             self.missed_ends.collect_soon(self.exchanges.by_id[exchange])
