--- a/latchturn/checking/environment.py
+++ b/latchturn/checking/environment.py
@@ -113,11 +113,11 @@
 
     def __init__(self, scope: Scope) -> None:
         self.scope = scope
-        self.now = START
+        self.now_us = START
         self.left = dict(scope.budgets)
         self.rare = scope.rare
         self.idle = scope.idle_moments
-        self.history = History(SETTINGS, self._judge)
+        self.history = History(SETTINGS, self._check_properties)
         self.session = s.Session(SETTINGS, 1, 1024)
         self.session.core.random = MedianRandom()
         self.session.decision_module.controller.random = MedianRandom()
@@ -146,7 +146,7 @@
             self._accept(min(self.connecting))
         for _ in range(scope.callers if not scope.replaces else 0):
             self._call_in()
-        self.history.stepped()
+        self.history.step_done()
 
     @property
     def budgeted(self) -> bool:
@@ -166,7 +166,7 @@
             for link in list(self.connecting):
                 if self.connecting.get(link, (0, 0))[0] in self.fars:
                     self._answer_connect(link)
-        self.history.stepped()
+        self.history.step_done()
 
     def _feed(self, *inputs: s.Input) -> None:
         """Hand inputs to the reducer as the network does: what effects bring up follows at once, in order."""
@@ -174,18 +174,18 @@
         while queue:
             happened = queue.popleft()
             if self.story is not None:
-                self.story.append((self.now, happened))
-            self.history.now = self.now
-            self.history.heard(happened)
-            for effect in self.session.step(self.now, happened):
+                self.story.append((self.now_us, happened))
+            self.history.now_us = self.now_us
+            self.history.record_input(happened)
+            for effect in self.session.step(self.now_us, happened):
                 if self.story is not None:
-                    self.story.append((self.now, effect))
-                self.history.asked(effect)
+                    self.story.append((self.now_us, effect))
+                self.history.record_effect(effect)
                 self._run(effect, queue)
 
-    def _judge(self, event: Observation) -> None:
+    def _check_properties(self, event: Observation) -> None:
         for property_ in PROPERTIES:
-            if (wrong := property_.breaks(self.history, event)) is not None:
+            if (wrong := property_.violation(self.history, event)) is not None:
                 raise PropertyViolation(property_.name, wrong)
 
     def _run(self, effect: s.Effect, queue: deque[s.Input]) -> None:
@@ -201,7 +201,7 @@
                     queue.append(s.WriteCompleted(stream))
             case s.Connect(stream, address, timeout_us):
                 at = [f.ident for f in self.fars.values() if f.port == address[1]]
-                self.connecting[stream] = (at[-1] if at else 0, self.now + timeout_us)
+                self.connecting[stream] = (at[-1] if at else 0, self.now_us + timeout_us)
             case s.Close(stream):
                 if self.connecting.pop(stream, None) is not None:
                     queue.append(s.ConnectFailed(stream, False))
@@ -240,11 +240,11 @@
         """The next moment at which something is due, and whether it is the reducer's own."""
         own = min((at for at, _, t in self.session.timers.heap if self.alive(t)), default=None)
         others = [due for _, due in self.connecting.values()]
-        if (deadline := self.history.due()) is not None:
+        if (deadline := self.history.next_due_us()) is not None:
             others.append(deadline)
         other = min(others, default=None)
         if own is not None and (other is None or own <= other):
-            return max(own, self.now), True
+            return max(own, self.now_us), True
         return None if other is None else (other, False)
 
     def alive(self, timer: Timer) -> bool:
@@ -263,10 +263,10 @@
         return call is not None and (call == -1 or call in module.calls)
 
     def _pass_to(self, moment: int) -> None:
-        self.now = moment
+        self.now_us = moment
         if self.story is not None:
             self.story.append((moment, None))
-        self.history.passes(moment)
+        self.history.time_passed(moment)
         for link, (_, due) in list(self.connecting.items()):
             if due <= moment:
                 del self.connecting[link]
@@ -276,7 +276,7 @@
         """The next moment comes, and the timer that is due runs."""
         due = self._next_due()
         assert due is not None
-        if due[0] > self.now:
+        if due[0] > self.now_us:
             self._spend()
             self._pass_to(due[0])
         self.due_now = False
@@ -294,10 +294,10 @@
         due = self._next_due()
         assert due is not None
         self._spend()
-        self._pass_to((self.now + due[0]) // 2)
+        self._pass_to((self.now_us + due[0]) // 2)
 
     def _spend(self) -> None:
-        if not any(call.owed for call in self.history.calls.values()):
+        if not any(call.awaits_answer for call in self.history.calls.values()):
             self.idle -= 1
 
     # --- what may happen next ---
@@ -322,11 +322,11 @@
                 found += [(kind, call) for kind in ("end", "cut") if kind in left]
         self._world_may(found, left)
         due = None if self.done else self._next_due()
-        if due is not None and (self.idle > 0 or any(c.owed for c in self.history.calls.values())):
+        if due is not None and (self.idle > 0 or any(c.awaits_answer for c in self.history.calls.values())):
             found.append(("tick",))
-            if due[0] > self.now and due[1] and self.rare > 1 and not self.due_now:
+            if due[0] > self.now_us and due[1] and self.rare > 1 and not self.due_now:
                 found.append(("due",))
-            if "between" in left and due[0] - self.now > 1000:
+            if "between" in left and due[0] - self.now_us > 1000:
                 found.append(("between",))
         return found
 
@@ -335,13 +335,13 @@
         if self.calls_made < self.scope.calls:
             found += [("set_up", k) for k in open_]
         for ident, call in self.history.calls.items():
-            if call.owed and call.stream in open_ and "give_up" in left:
+            if call.awaits_answer and call.stream in open_ and "give_up" in left:
                 found.append(("give_up", ident))
-            if call.stood and not (call.end_told or call.ended_by_caller_us) and "release" in left:
+            if call.was_answered and not (call.end_sent or call.ended_by_caller_us) and "release" in left:
                 found += [("release", ident, k) for k in open_]
-            if call.answers and not call.stood and "redial" in left:
+            if call.final_answers_sent and not call.was_answered and "redial" in left:
                 found += [("redial", ident, k) for k in open_]
-            if call.gone or (call.ended_us and self.now - call.ended_us > REMEMBERED_US):
+            if call.abandoned or (call.ended_for_caller_us and self.now_us - call.ended_for_caller_us > REMEMBERED_US):
                 continue
             if "same_id" in left and call.stream in open_:
                 found.append(("same_id", ident, call.stream))
@@ -402,7 +402,7 @@
             found += [(kind, ident) for kind in (*kinds, "gone", "replaced") if told and kind in left]
             if "die" in left and far.alive:
                 found.append(("die", ident))
-            if "return" in left and not far.alive and self.now > far.died_us:
+            if "return" in left and not far.alive and self.now_us > far.died_us:
                 found.append(("return", ident))
         if self.budgeted:
             for link, (at, _) in self.connecting.items():
@@ -415,7 +415,7 @@
             found.append(("list_twice",))
         if "channel_lost" in left:
             found.append(("channel_lost",))
-        ended = bool(self.history.term_us)
+        ended = bool(self.history.sigterm_us)
         if "lameduck" in left and not self.history.draining:
             found.append(("lameduck",))
         if "rejoin" in left and self.history.draining:
@@ -424,9 +424,9 @@
             found += [("sighup", name) for name in VARIANTS]
         if "sigterm" in left and not ended:
             found.append(("sigterm",))
-        if "succeed" in left and not self.history.succeeded:
+        if "succeed" in left and not self.history.successor_serves:
             found.append(("succeed",))
-        if "unsucceed" in left and self.history.succeeded:
+        if "unsucceed" in left and self.history.successor_serves:
             found.append(("unsucceed",))
         if "inherit" in left:
             found += [("inherit", ident) for ident in self.fars]
@@ -550,7 +550,7 @@
 
     def _do_die(self, ident: int) -> None:
         self.fars[ident].alive = False
-        self.fars[ident].died_us = self.now
+        self.fars[ident].died_us = self.now_us
         self.standing = {call: far for call, far in self.standing.items() if far != ident}
         for link in [k for k, peer in self.peers.items() if peer.far == ident]:
             if link in self.peers:
@@ -558,7 +558,7 @@
 
     def _do_return(self, ident: int) -> None:
         self.fars[ident].alive = True
-        self.anew[ident] = self.now
+        self.anew[ident] = self.now_us
 
     def _do_group(self, link: int, free: int) -> None:
         self._feed(s.MessageReceived(link, p.GroupState(0, {"spare": free, "total": 40, "allowed": 100.0})))
@@ -588,7 +588,7 @@
 
     def _do_stall(self, stream: int) -> None:
         self.peers[stream].stalled = True
-        self.history.stalled.add(stream)
+        self.history.stalled_streams.add(stream)
 
     _do_stall_caller = _do_stall
 
@@ -596,13 +596,13 @@
         peer = self.peers[stream]
         assert peer.held is not None
         peer.seen = True
-        self.history.arrived(stream)
+        self.history.write_arrived(stream)
         self._reach(stream, peer, peer.held)
 
     def _do_through(self, stream: int) -> None:
         peer = self.peers[stream]
         peer.stalled = False
-        self.history.stalled.discard(stream)
+        self.history.stalled_streams.discard(stream)
         held, peer.held = peer.held, None
         if held is not None:
             if not peer.seen:
@@ -640,7 +640,7 @@
         for link, (far, due) in self.connecting.items():
             if far == ident:
                 self.connecting[link] = (new.ident, due)
-        self._tell(self._listed(new, started=self.now))
+        self._tell(self._listed(new, started=self.now_us))
 
     def _do_list_twice(self) -> None:
         assert self.last is not None
@@ -687,7 +687,7 @@
     def over(self) -> bool:
         """Whether every call that was made is over at its caller and at its exchange."""
         calls = self.history.calls.values()
-        return not self.standing and not any(c.owed or (c.stood and not c.over) for c in calls)
+        return not self.standing and not any(c.awaits_answer or (c.was_answered and not c.has_ended) for c in calls)
 
     @property
     def done(self) -> bool:
@@ -701,7 +701,7 @@
         """Let everything come to its end: standing calls end, writes are through, time passes. Broken if then
         anything is left."""
         if self.over and (late := hanging(self.session)):
-            raise PropertyViolation(NOTHING_LEFT.name, NOTHING_LEFT.left(late) or "")
+            raise PropertyViolation(NOTHING_LEFT.name, NOTHING_LEFT.describe(late) or "")
         for stream in [k for k, peer in self.peers.items() if peer.stalled]:
             if stream in self.peers:
                 self._do_through(stream)
@@ -717,10 +717,10 @@
             for link in list(self.connecting):
                 if self.connecting.get(link, (0, 0))[0] in self.fars:
                     self._answer_connect(link)
-            if due[0] > self.now:
+            if due[0] > self.now_us:
                 self._pass_to(due[0])
             self._feed(s.Tick())
-            if self.over and self.now > START + 3_000_000:
+            if self.over and self.now_us > START + 3_000_000:
                 break
         for _ in range(END_STEPS):
             if self.history.exited:
@@ -728,7 +728,7 @@
             for link in list(self.connecting):
                 if self.connecting.get(link, (0, 0))[0] in self.fars:
                     self._answer_connect(link)
-            self._pass_to(self.now + 1_500_000)
+            self._pass_to(self.now_us + 1_500_000)
             self._feed(s.Tick())
-        if (wrong := NOTHING_LEFT.left(remains(self.session, self.history.exited))) is not None:
+        if (wrong := NOTHING_LEFT.describe(remains(self.session, self.history.exited))) is not None:
             raise PropertyViolation(NOTHING_LEFT.name, wrong)
--- a/latchturn/checking/history.py
+++ b/latchturn/checking/history.py
@@ -21,17 +21,17 @@
 class ObservationKind(IntEnum):
     """What has just come to be known, for the properties to judge."""
 
-    TAKEN = 0  # a call is taken
-    FINAL = 1  # a message for a call is handed over for writing to a caller
-    HANDED = 2  # a set-up is handed over for writing to an exchange
-    ARRIVED = 3  # a set-up has reached an exchange whole
-    ENDED = 4  # an attempt that was handed over is no more
-    CONNECT = 5
-    CUT_OFF = 6  # a caller's connection is closed from our side
-    FAULT = 7  # the reducer has met a fault of its own
-    EXIT = 8
-    STEP = 9  # a step and all that it brought up is through
-    TIME = 10  # time has passed
+    CALL_TAKEN = 0  # a call is taken
+    MESSAGE_TO_CALLER = 1  # a message for a call is handed over for writing to a caller
+    SET_UP_SENT = 2  # a set-up is handed over for writing to an exchange
+    SET_UP_ARRIVED = 3  # a set-up has reached an exchange whole
+    ATTEMPT_ENDED = 4  # an attempt that was handed over is no more
+    LINK_OPENED = 5
+    CALLER_CLOSED = 6  # a caller's connection is closed from our side
+    INTERNAL_FAULT = 7  # the reducer has met a fault of its own
+    PROGRAM_EXITED = 8
+    STEP_DONE = 9  # a step and all that it brought up is through
+    TIME_PASSED = 10  # time has passed
 
 
 @dataclass(slots=True)
@@ -40,8 +40,8 @@
 
     link: int
     exchange: int
-    handed_us: int
-    until_us: int  # by when it must be over
+    sent_us: int
+    must_end_by_us: int  # by when it must be over
     arrived: bool = False
     giving_up: bool = False  # its give-up is handed over; what the exchange still says counts for nothing
 
@@ -53,32 +53,32 @@
     set_up: p.SetUp
     stream: int
     taken_us: int
-    due_us: int  # the caller waits so long
+    answer_due_us: int  # the caller waits so long
     destination: int
-    answers: int = 0  # final answers handed over
-    stood: bool = False
-    gone: bool = False  # given up by its caller
-    crossed: bool = False  # given up while what it is told may be on its way
-    handed: int = 0  # set-ups handed over
-    out: list[ObservedAttempt] = field(default_factory=list)  # handed over and not over yet
-    quiet_us: int = 0  # when an attempt timed out, was reset or cancelled last
-    answer: bytes | None = None  # description of the answer that an exchange gave to an attempt that was out
-    stands_at: int = 0
-    over_us: int = 0  # when the end of the standing call was told to the reducer by an exchange or the list
+    final_answers_sent: int = 0  # final answers handed over
+    was_answered: bool = False
+    abandoned: bool = False  # given up by its caller
+    answer_may_cross: bool = False  # given up while what it is told may be on its way
+    set_ups_sent: int = 0  # set-ups handed over
+    outstanding: list[ObservedAttempt] = field(default_factory=list)  # handed over and not over yet
+    pause_since_us: int = 0  # when an attempt timed out, was reset or cancelled last
+    exchange_answer: bytes | None = None  # description of the answer that an exchange gave to an attempt that was out
+    standing_exchange: int = 0
+    end_reported_us: int = 0  # when the end of the standing call was told to the reducer by an exchange or the list
     ended_by_caller_us: int = 0
-    end_told: bool = False
-    end_passed: bool = False  # to its exchange
-    ended_us: int = 0  # when it was over for its caller
+    end_sent: bool = False
+    end_forwarded: bool = False  # to its exchange
+    ended_for_caller_us: int = 0  # when it was over for its caller
 
     @property
-    def owed(self) -> bool:
+    def awaits_answer(self) -> bool:
         """Whether its caller waits for its final answer."""
-        return not self.answers and not self.gone
+        return not self.final_answers_sent and not self.abandoned
 
     @property
-    def over(self) -> bool:
+    def has_ended(self) -> bool:
         """Whether it stood and has ended, as far as the reducer has been told."""
-        return bool(self.over_us or self.ended_by_caller_us or self.end_told)
+        return bool(self.end_reported_us or self.ended_by_caller_us or self.end_sent)
 
 
 @dataclass(slots=True)
@@ -87,7 +87,7 @@
 
     number: int
     address: tuple[str, int]
-    since_us: int = 0  # since when it is told draining or gone, 0 if it is ready
+    not_ready_since_us: int = 0  # since when it is told draining or gone, 0 if it is ready
     gone: bool = False
 
 
@@ -95,7 +95,7 @@
 class Observation:
     """A fact with what it is about; what does not apply is None."""
 
-    fact: ObservationKind
+    kind: ObservationKind
     call: ObservedCall | None = None
     attempt: ObservedAttempt | None = None
     message: object = None
@@ -105,269 +105,281 @@
 class History:
     """The history, kept as inputs and effects come."""
 
-    def __init__(self, settings: i.Settings, tell: Callable[[Observation], None]) -> None:
-        self.tell = tell  # hears each fact as it comes to be
-        self.now = 0
-        self.most = settings.max_attempts
+    def __init__(self, settings: i.Settings, notify: Callable[[Observation], None]) -> None:
+        self.notify = notify  # hears each fact as it comes to be
+        self.now_us = 0
+        self.max_attempts = settings.max_attempts
         self.release_us = settings.release_us
-        self.grace_us = settings.drain_grace_us
+        self.drain_grace_us = settings.drain_grace_us
         self.calls: dict[int, ObservedCall] = {}
         self.exchanges: dict[int, ListedExchange] = {}
         self.links: dict[int, int] = {}  # stream -> exchange
-        self.up: set[int] = set()
-        self.callers: set[int] = set()  # open
-        self.open_us = 0  # since when any has been
-        self.shut: set[int] = set()  # callers that broke the protocol: what they are owed may end with them
-        self.stalled: set[int] = set()
-        self.writing: dict[int, tuple[p.Message, ...]] = {}
+        self.links_up: set[int] = set()
+        self.open_callers: set[int] = set()  # open
+        self.callers_open_since_us = 0  # since when any has been
+        self.misbehaving_callers: set[int] = (
+            set()
+        )  # callers that broke the protocol: what they are owed may end with them
+        self.stalled_streams: set[int] = set()
+        self.being_written: dict[int, tuple[p.Message, ...]] = {}
         self.cursor = 0
-        self.term_us = 0
+        self.sigterm_us = 0
         self.draining = False
         self.exited = False
-        self.succeeded = False
-        self.bequeathed: tuple[int, ...] = ()
+        self.successor_serves = False
+        self.handed_over_calls: tuple[int, ...] = ()
 
-    def stepped(self) -> None:
+    def step_done(self) -> None:
         """One choice of the world and all that it brought up is through."""
-        self.tell(Observation(ObservationKind.STEP))
+        self.notify(Observation(ObservationKind.STEP_DONE))
 
-    def passes(self, now: int) -> None:
+    def time_passed(self, now_us: int) -> None:
         """Time has gone on."""
-        self.now = now
-        self.tell(Observation(ObservationKind.TIME))
+        self.now_us = now_us
+        self.notify(Observation(ObservationKind.TIME_PASSED))
 
-    def due(self) -> int | None:
+    def next_due_us(self) -> int | None:
         """The next moment at which something must have happened."""
-        moments = [c.due_us + 1 for c in self.calls.values() if c.owed]
-        moments += [t.until_us + 1 for c in self.calls.values() for t in c.out]
-        later = [m for m in moments if m > self.now]
+        times_us = [c.answer_due_us + 1 for c in self.calls.values() if c.awaits_answer]
+        times_us += [t.must_end_by_us + 1 for c in self.calls.values() for t in c.outstanding]
+        later = [m for m in times_us if m > self.now_us]
         return min(later) if later else None
 
     # --- inputs ---
 
-    def heard(self, happened: s.Input) -> None:
+    def record_input(self, input_: s.Input) -> None:
         """An input is about to be taken in."""
-        match happened:
+        match input_:
             case s.MessageReceived(stream, message):
                 if stream in self.links:
                     self._from_exchange(stream, message)
-                elif stream in self.callers:
+                elif stream in self.open_callers:
                     self._from_caller(stream, message)
             case s.WriteCompleted(stream):
-                self.arrived(stream)
-                self.writing.pop(stream, None)
+                self.write_arrived(stream)
+                self.being_written.pop(stream, None)
             case s.Accepted(stream):
-                self.open_us = self.open_us if self.callers else self.now
-                self.callers.add(stream)
+                self.callers_open_since_us = self.callers_open_since_us if self.open_callers else self.now_us
+                self.open_callers.add(stream)
             case s.Connected(stream):
-                self.up.add(stream)
+                self.links_up.add(stream)
             case s.ConnectionClosed(stream) | s.ConnectFailed(stream):
-                self._lost(stream)
+                self._connection_lost(stream)
             case s.EndOfInput(stream) | s.MalformedInput(stream):
                 if stream in self.links:
-                    self._lost(stream)
-                elif isinstance(happened, s.MalformedInput):
-                    self.shut.add(stream)
+                    self._connection_lost(stream)
+                elif isinstance(input_, s.MalformedInput):
+                    self.misbehaving_callers.add(stream)
             case s.Started(known, cursor):
                 for update in known:
-                    self._list(update)
+                    self._apply_list_update(update)
                 self.cursor = max(self.cursor, cursor)
             case s.Reconfigured(known, _, _, settings):
                 for update in known:
-                    self._list(update)
-                self.release_us, self.grace_us = settings.release_us, settings.drain_grace_us
+                    self._apply_list_update(update)
+                self.release_us, self.drain_grace_us = settings.release_us, settings.drain_grace_us
             case s.ListUpdateReceived(update):
-                self._list(update)
-            case s.CallInherited(call, exchange):
-                if exchange in self.exchanges and not self.exchanges[exchange].gone and call not in self.calls:
-                    told = ObservedCall(p.SetUp(call, "", 0, "", b""), 0, self.now, self.now, 0, answers=1, stood=True)
-                    told.stands_at = exchange
-                    self.calls[call] = told
-            case s.ReleaseForwarded(call):
-                if call in self.calls and not self.calls[call].over:
-                    self.calls[call].ended_by_caller_us = self.now
+                self._apply_list_update(update)
+            case s.CallInherited(call_id, exchange):
+                if exchange in self.exchanges and not self.exchanges[exchange].gone and call_id not in self.calls:
+                    observed = ObservedCall(
+                        p.SetUp(call_id, "", 0, "", b""),
+                        0,
+                        self.now_us,
+                        self.now_us,
+                        0,
+                        final_answers_sent=1,
+                        was_answered=True,
+                    )
+                    observed.standing_exchange = exchange
+                    self.calls[call_id] = observed
+            case s.ReleaseForwarded(call_id):
+                if call_id in self.calls and not self.calls[call_id].has_ended:
+                    self.calls[call_id].ended_by_caller_us = self.now_us
             case s.Terminate():
-                self.term_us = self.term_us or self.now
+                self.sigterm_us = self.sigterm_us or self.now_us
             case s.SuccessorChanged(serves):
-                self.succeeded = serves or (self.succeeded and bool(self.term_us))
+                self.successor_serves = serves or (self.successor_serves and bool(self.sigterm_us))
             case _:
                 pass
 
     def _from_caller(self, stream: int, message: p.Message) -> None:
         known = self.calls.get(message.call)
         if isinstance(message, p.SetUp):
-            again = known is not None and (not known.gone or bool(known.answers) or known.crossed)
-            if again:
+            repeated = known is not None and (
+                not known.abandoned or bool(known.final_answers_sent) or known.answer_may_cross
+            )
+            if repeated:
                 if known is not None and known.stream != stream:
-                    self.shut.add(stream)
+                    self.misbehaving_callers.add(stream)
                 return
-            told = ObservedCall(
-                message, stream, self.now, self.now + message.wait_ms * 1000, message.figures.get("dest", -1)
+            observed = ObservedCall(
+                message, stream, self.now_us, self.now_us + message.wait_ms * 1000, message.figures.get("dest", -1)
             )
-            self.calls[message.call] = told
-            self.tell(Observation(ObservationKind.TAKEN, told))
+            self.calls[message.call] = observed
+            self.notify(Observation(ObservationKind.CALL_TAKEN, observed))
         elif isinstance(message, p.Release) and known is not None:
-            if known.owed:
-                known.gone, known.crossed = True, stream in self.stalled
-            elif known.stood and not known.over_us and not known.ended_by_caller_us:
-                known.ended_by_caller_us = known.ended_us = self.now
+            if known.awaits_answer:
+                known.abandoned, known.answer_may_cross = True, stream in self.stalled_streams
+            elif known.was_answered and not known.end_reported_us and not known.ended_by_caller_us:
+                known.ended_by_caller_us = known.ended_for_caller_us = self.now_us
 
     def _from_exchange(self, link: int, message: p.Message) -> None:
-        told = self.calls.get(message.call)
-        if told is None:
+        observed = self.calls.get(message.call)
+        if observed is None:
             return
-        attempt = next((t for t in told.out if t.link == link), None)
+        attempt = next((t for t in observed.outstanding if t.link == link), None)
         if attempt is not None and attempt.giving_up and isinstance(message, p.Answer | p.Release):
             attempt.arrived = False  # out no more; it is over for us once its give-up is through
         elif attempt is not None and isinstance(message, p.Answer):
             if attempt.arrived:
-                told.answer, told.stands_at = message.description, attempt.exchange
-            self._over(told, attempt, quiet=False)
+                observed.exchange_answer, observed.standing_exchange = message.description, attempt.exchange
+            self._attempt_ended(observed, attempt, starts_pause=False)
         elif attempt is not None and isinstance(message, p.Release):
-            quiet = message.cause in (p.ReleaseCause.TEMPORARY_FAILURE, p.ReleaseCause.NORMAL)
-            self._over(told, attempt, quiet)
+            starts_pause = message.cause in (p.ReleaseCause.TEMPORARY_FAILURE, p.ReleaseCause.NORMAL)
+            self._attempt_ended(observed, attempt, starts_pause)
         else:
             ends = isinstance(message, p.Release) and message.cause in ENDS
-            if ends and told.stood and told.stands_at == self.links.get(link):
-                self._ended(told)
+            if ends and observed.was_answered and observed.standing_exchange == self.links.get(link):
+                self._standing_call_ended(observed)
 
-    def _ended(self, told: ObservedCall) -> None:
-        if not told.over_us and not told.ended_by_caller_us:
-            told.over_us = self.now
+    def _standing_call_ended(self, observed: ObservedCall) -> None:
+        if not observed.end_reported_us and not observed.ended_by_caller_us:
+            observed.end_reported_us = self.now_us
 
-    def _over(self, told: ObservedCall, attempt: ObservedAttempt, quiet: bool) -> None:
-        told.out.remove(attempt)
-        if quiet:
-            told.quiet_us = self.now
-        self.tell(Observation(ObservationKind.ENDED, told, attempt))
+    def _attempt_ended(self, observed: ObservedCall, attempt: ObservedAttempt, starts_pause: bool) -> None:
+        observed.outstanding.remove(attempt)
+        if starts_pause:
+            observed.pause_since_us = self.now_us
+        self.notify(Observation(ObservationKind.ATTEMPT_ENDED, observed, attempt))
 
-    def _lost(self, stream: int) -> None:
+    def _connection_lost(self, stream: int) -> None:
         """A connection is no more: the set-ups on it are given up, a caller's calls too."""
-        self.up.discard(stream)
-        if stream in self.callers:
-            for message in self.writing.get(stream, ()):
-                told = self.calls.get(message.call)
-                if told is not None and told.stood and isinstance(message, p.Release):
-                    told.end_told = False  # it has perhaps not come through
-        self.writing.pop(stream, None)
-        stalled = stream in self.stalled
-        self.stalled.discard(stream)
+        self.links_up.discard(stream)
+        if stream in self.open_callers:
+            for message in self.being_written.get(stream, ()):
+                observed = self.calls.get(message.call)
+                if observed is not None and observed.was_answered and isinstance(message, p.Release):
+                    observed.end_sent = False  # it has perhaps not come through
+        self.being_written.pop(stream, None)
+        was_stalled = stream in self.stalled_streams
+        self.stalled_streams.discard(stream)
         if stream in self.links:
-            for told in self.calls.values():
-                for attempt in [t for t in told.out if t.link == stream]:
-                    self._over(told, attempt, quiet=True)
+            for observed in self.calls.values():
+                for attempt in [t for t in observed.outstanding if t.link == stream]:
+                    self._attempt_ended(observed, attempt, starts_pause=True)
             del self.links[stream]
-        elif stream in self.callers:
-            self.callers.discard(stream)
-            for told in self.calls.values():
-                if told.stream == stream and told.owed:
-                    told.gone, told.crossed = True, stalled
+        elif stream in self.open_callers:
+            self.open_callers.discard(stream)
+            for observed in self.calls.values():
+                if observed.stream == stream and observed.awaits_answer:
+                    observed.abandoned, observed.answer_may_cross = True, was_stalled
 
-    def _list(self, update: p.ListUpdate) -> None:
+    def _apply_list_update(self, update: p.ListUpdate) -> None:
         if update.kind is None or update.number <= self.cursor:
             return
         self.cursor = update.number
-        for listed in update.records:
-            entry = listed.entry
+        for record in update.records:
+            entry = record.entry
             for ident, other in self.exchanges.items():
-                fresh = entry.exchange not in self.exchanges
-                if fresh and other.address == listed.address and entry.state is not i.ListState.GONE:
-                    self._goes(ident)
-            known = self.exchanges.setdefault(entry.exchange, ListedExchange(entry.number, listed.address))
-            known.address = listed.address
+                is_new = entry.exchange not in self.exchanges
+                if is_new and other.address == record.address and entry.state is not i.ListState.GONE:
+                    self._exchange_gone(ident)
+            known = self.exchanges.setdefault(entry.exchange, ListedExchange(entry.number, record.address))
+            known.address = record.address
             if entry.state is i.ListState.READY:
-                known.since_us, known.gone = 0, False
+                known.not_ready_since_us, known.gone = 0, False
             else:
-                known.since_us = known.since_us or self.now
+                known.not_ready_since_us = known.not_ready_since_us or self.now_us
                 if entry.state is i.ListState.GONE:
-                    self._goes(entry.exchange)
+                    self._exchange_gone(entry.exchange)
         if update.kind is i.ListKind.FULL:
-            named = {listed.entry.exchange for listed in update.records}
+            listed_ids = {record.entry.exchange for record in update.records}
             for ident in self.exchanges:
-                if ident not in named:
-                    self._goes(ident)
+                if ident not in listed_ids:
+                    self._exchange_gone(ident)
 
-    def _goes(self, exchange: int) -> None:
+    def _exchange_gone(self, exchange: int) -> None:
         known = self.exchanges[exchange]
-        known.since_us, known.gone = known.since_us or self.now, True
-        for told in self.calls.values():
-            if told.stood and told.stands_at == exchange:
-                self._ended(told)
+        known.not_ready_since_us, known.gone = known.not_ready_since_us or self.now_us, True
+        for observed in self.calls.values():
+            if observed.was_answered and observed.standing_exchange == exchange:
+                self._standing_call_ended(observed)
 
     # --- effects ---
 
-    def asked(self, effect: s.Effect) -> None:
+    def record_effect(self, effect: s.Effect) -> None:
         """An effect has been asked for."""
         match effect:
             case s.Write(stream, messages):
-                self.writing[stream] = messages
+                self.being_written[stream] = messages
                 for message in messages:
                     if stream in self.links:
                         self._to_exchange(stream, message)
-                    elif stream in self.callers:
+                    elif stream in self.open_callers:
                         self._to_caller(stream, message)
             case s.Connect(stream, address):
                 at = [k for k, e in self.exchanges.items() if e.address == address and not e.gone]
                 self.links[stream] = at[-1] if at else 0
-                self.tell(Observation(ObservationKind.CONNECT, stream=stream))
+                self.notify(Observation(ObservationKind.LINK_OPENED, stream=stream))
             case s.Close(stream) | s.CloseIdle(stream):
                 if stream in self.links:
-                    self._lost(stream)
-                elif stream in self.callers and isinstance(effect, s.Close):
-                    self.tell(Observation(ObservationKind.CUT_OFF, stream=stream))
+                    self._connection_lost(stream)
+                elif stream in self.open_callers and isinstance(effect, s.Close):
+                    self.notify(Observation(ObservationKind.CALLER_CLOSED, stream=stream))
             case s.Log(text):
                 if text.startswith("fault"):
-                    self.tell(Observation(ObservationKind.FAULT, message=text))
+                    self.notify(Observation(ObservationKind.INTERNAL_FAULT, message=text))
             case s.HandOverCalls(calls):
-                self.bequeathed = tuple(call for call, _ in calls)
+                self.handed_over_calls = tuple(call_id for call_id, _ in calls)
             case s.Exit():
                 self.exited = True
-                self.tell(Observation(ObservationKind.EXIT))
+                self.notify(Observation(ObservationKind.PROGRAM_EXITED))
             case _:
                 pass
 
     def _to_exchange(self, link: int, message: p.Message) -> None:
-        told = self.calls.get(message.call)
+        observed = self.calls.get(message.call)
         if isinstance(message, p.SetUp):
-            until = self.now + message.wait_ms * 1000 + GIVE_UP_SLACK_US
-            attempt = ObservedAttempt(link, self.links[link], self.now, until)
-            if told is not None:
-                told.handed += 1
-                told.out.append(attempt)
-            self.tell(Observation(ObservationKind.HANDED, told, attempt, message, link))
-        elif isinstance(message, p.Release) and told is not None:
-            told.end_passed = told.end_passed or told.stands_at == self.links[link]
-            for attempt in told.out:
+            until = self.now_us + message.wait_ms * 1000 + GIVE_UP_SLACK_US
+            attempt = ObservedAttempt(link, self.links[link], self.now_us, until)
+            if observed is not None:
+                observed.set_ups_sent += 1
+                observed.outstanding.append(attempt)
+            self.notify(Observation(ObservationKind.SET_UP_SENT, observed, attempt, message, link))
+        elif isinstance(message, p.Release) and observed is not None:
+            observed.end_forwarded = observed.end_forwarded or observed.standing_exchange == self.links[link]
+            for attempt in observed.outstanding:
                 attempt.giving_up = attempt.giving_up or attempt.link == link
 
     def _to_caller(self, stream: int, message: p.Message) -> None:
         if not isinstance(message, p.Answer | p.Release):
             return
-        told = self.calls.get(message.call)
-        self.tell(Observation(ObservationKind.FINAL, told, None, message, stream))
-        if told is None:
+        observed = self.calls.get(message.call)
+        self.notify(Observation(ObservationKind.MESSAGE_TO_CALLER, observed, None, message, stream))
+        if observed is None:
             return
-        if isinstance(message, p.Release) and told.stood:
-            told.end_told = True
+        if isinstance(message, p.Release) and observed.was_answered:
+            observed.end_sent = True
         else:
-            told.answers += 1
-            told.stood = isinstance(message, p.Answer)
+            observed.final_answers_sent += 1
+            observed.was_answered = isinstance(message, p.Answer)
         if isinstance(message, p.Release):
-            told.ended_us = self.now
+            observed.ended_for_caller_us = self.now_us
 
-    def arrived(self, stream: int) -> None:
+    def write_arrived(self, stream: int) -> None:
         """What is being written on a stream has reached its peer whole."""
         if stream not in self.links:
             return
-        for message in self.writing.pop(stream, ()):
-            told = self.calls.get(message.call)
-            if told is None:
+        for message in self.being_written.pop(stream, ()):
+            observed = self.calls.get(message.call)
+            if observed is None:
                 continue
-            attempt = next((t for t in told.out if t.link == stream), None)
+            attempt = next((t for t in observed.outstanding if t.link == stream), None)
             if attempt is None:
                 continue
             if isinstance(message, p.SetUp):
                 attempt.arrived = True
-                self.tell(Observation(ObservationKind.ARRIVED, told, attempt, message, stream))
+                self.notify(Observation(ObservationKind.SET_UP_ARRIVED, observed, attempt, message, stream))
             elif isinstance(message, p.Release):
-                self._over(told, attempt, quiet=True)
+                self._attempt_ended(observed, attempt, starts_pause=True)
--- a/latchturn/checking/states.py
+++ b/latchturn/checking/states.py
@@ -89,8 +89,8 @@
     Timers: frozenset(("count", "heap")),
     # What settings are in use says the rest; the classes before end with their callers' patience.
     Classes: frozenset(("served", "settings", "by_name", "tenants", "before")),
-    History: frozenset(("now", "tell")),
-    Environment: frozenset(("scope", "now", "session", "story")),
+    History: frozenset(("now_us", "notify")),
+    Environment: frozenset(("scope", "now_us", "session", "story")),
 }
 _SIMPLE = (str, bytes, type(None), bool, float)
 _FIELDS: dict[type, tuple[str, ...]] = {}
@@ -104,15 +104,15 @@
 class _Walk:
     """One walk over a state."""
 
-    def __init__(self, now: int) -> None:
-        self.now = now
+    def __init__(self, now_us: int) -> None:
+        self.now_us = now_us
         self.met: dict[int, int] = {}
 
     def of(self, value: Any) -> Any:
         """A value as marshal can write it, the same for all states that count as one."""
         kind = type(value)
         if kind is int:
-            return value - self.now if value > MOMENT else (value,)
+            return value - self.now_us if value > MOMENT else (value,)
         if kind in _SIMPLE:
             return value
         of = self.of
@@ -151,13 +151,13 @@
 
 def fingerprint(environment: Environment) -> bytes:
     """16 bytes that are equal for states that count as one."""
-    walk = _Walk(environment.now)
+    walk = _Walk(environment.now_us)
     session = environment.session
     module = session.decision_module.controller
     tokens = [(module.timers[k], walk.of(k)) for k in module.timers if environment.token_lives(k)]
     parts = [walk.of(part) for part in vars(session).values() if isinstance(part, Component)]
     timers = [
-        (at - environment.now, timer.kind.name, walk.of(timer.what))
+        (at - environment.now_us, timer.kind.name, walk.of(timer.what))
         for at, _, timer in sorted(session.timers.heap, key=lambda t: t[:2])
         if environment.alive(timer)
     ]
