--- a/latchturn/__main__.py
+++ b/latchturn/__main__.py
@@ -20,7 +20,7 @@
 from .benchlink import SettingsError, read_settings
 from .brain import validate
 from .interface import Settings
-from .net import Node, flush_log, log
+from .net import Server, flush_log, log
 from .protocol import Config, ConfigError, parse_address, read_config
 from .session import Session
 
@@ -50,16 +50,16 @@
             raise ConfigError("GW_CONFIG names no file")
         config, settings = read(path)
         config = with_admin_address(config, os.environ)
-        core = Session(settings, config.seed, config.sockets)
+        reducer = Session(settings, config.seed, config.sockets)
     except (ConfigError, ValueError) as error:
         print(f"latchturn: {error}", file=sys.stderr)
         return 2
-    node = Node(config, core, lambda: read(path))
+    server = Server(config, reducer, lambda: read(path))
     try:
-        trio.run(node.run, instruments=[node.polls])
+        trio.run(server.run, instruments=[server.poll_monitor])
     finally:
         early_signals.ignore()
-        log(node.counters_line(), always=True)
+        log(server.counters_line(), always=True)
         flush_log()
     return 0
 
--- a/latchturn/admin.py
+++ b/latchturn/admin.py
@@ -13,9 +13,9 @@
 
 from . import operations, session
 
-CONNECTIONS_MOST = 16  # the oldest makes room
+MAX_CONNECTIONS = 16  # the oldest makes room
 BACKLOG = 64
-PATIENCE_S = 5.0  # for one connection
+CONNECTION_TIMEOUT_S = 5.0  # for one connection
 
 
 class _Connection:
@@ -29,39 +29,39 @@
 class AdminConnections:
     """The connections that are open at the admin listener."""
 
-    def __init__(self, tell: Callable[[session.Input], None]) -> None:
-        self._tell = tell  # hands an input to the reducer, which replies before it returns
-        self._open: dict[int, _Connection] = {}  # the oldest first
+    def __init__(self, submit: Callable[[session.Input], None]) -> None:
+        self._submit = submit  # hands an input to the reducer, which replies before it returns
+        self._connections: dict[int, _Connection] = {}  # the oldest first
         self._accepted = 0
 
     async def serve(self, sock: trio.socket.SocketType) -> None:
         """One connection, from its line to its end."""
         self._accepted += 1
-        ident, connection = self._accepted, _Connection()
-        if len(self._open) >= CONNECTIONS_MOST:
-            next(iter(self._open.values())).scope.cancel()  # guards the listener against those who dawdle
-        self._open[ident] = connection
+        connection_id, connection = self._accepted, _Connection()
+        if len(self._connections) >= MAX_CONNECTIONS:
+            next(iter(self._connections.values())).scope.cancel()  # guards the listener against those who dawdle
+        self._connections[connection_id] = connection
         try:
-            with sock, connection.scope, trio.move_on_after(PATIENCE_S), contextlib.suppress(OSError):
+            with sock, connection.scope, trio.move_on_after(CONNECTION_TIMEOUT_S), contextlib.suppress(OSError):
                 line = await self._read_line(sock)
-                self._tell(session.Operation(ident, operations.parse(line)))
+                self._submit(session.Operation(connection_id, operations.parse_command(line)))
                 while connection.reply:
                     connection.reply = connection.reply[await sock.send(connection.reply) :]
                 sock.shutdown(trio.socket.SHUT_WR)
         finally:
-            del self._open[ident]
+            del self._connections[connection_id]
 
     @staticmethod
     async def _read_line(sock: trio.socket.SocketType) -> bytes:
         line = b""
-        while b"\n" not in line and len(line) <= operations.MAX_LINE:
-            data = await sock.recv(operations.MAX_LINE)
+        while b"\n" not in line and len(line) <= operations.MAX_LINE_BYTES:
+            data = await sock.recv(operations.MAX_LINE_BYTES)
             if not data:
                 break
             line += data
         return line.partition(b"\n")[0]
 
-    def reply(self, ident: int, data: bytes) -> None:
+    def reply(self, connection_id: int, data: bytes) -> None:
         """Answer a connection, if it is still open."""
-        if ident in self._open:
-            self._open[ident].reply = data
+        if connection_id in self._connections:
+            self._connections[connection_id].reply = data
--- a/latchturn/checking/world.py
+++ b/latchturn/checking/world.py
@@ -25,7 +25,7 @@
 MOMENT = START >> 1
 Choice = tuple[str | int, ...]
 CHANNEL = ("127.0.0.1", 9)
-CLASS = p.settings_word(SETTINGS.classes[0].name)
+CLASS = p.settings_text(SETTINGS.classes[0].name)
 REMEMBERED_US = 9_000_000  # ids of ended calls are known for 10 s, so they are not used again after that here
 # Steps of 1.5 s at the end. A release that waits for a link may be written in the first ones and is kept for 8 s.
 END_STEPS = 16
--- a/latchturn/handover.py
+++ b/latchturn/handover.py
@@ -18,45 +18,45 @@
 
 import trio
 
-SAY_ALL_S = 0.1  # the process that waits so long is about to end
-PATIENCE_S = 0.3  # with a process that may be hung, or something else
+SEND_ALL_TIMEOUT_S = 0.1  # the process that waits so long is about to end
+PREDECESSOR_TIMEOUT_S = 0.3  # with a process that may be hung, or something else
 # The words, with what follows them.
 SERVING = "serving"
-HELD = "held"  # descriptors, calls
-STANDS = "stands"  # call, exchange
-OVER = "over"  # call, cause
-MOST_WORDS = 4096  # bytes
+USAGE = "held"  # descriptors, calls
+STANDING_CALL = "stands"  # call, exchange
+FORWARDED_RELEASE = "over"  # call, cause
+MAX_UNREAD_BYTES = 4096  # bytes
 
 
-def path_for(folder: str | None, address: tuple[str, int]) -> Path | None:
+def socket_path(folder: str | None, address: tuple[str, int]) -> Path | None:
     """Where the process that serves at an address is found, None without a folder."""
     return Path(folder) / f"latchturn-{address[0]}-{address[1]}.sock" if folder else None
 
 
-def descriptors() -> int:
+def count_descriptors() -> int:
     """How many this process holds."""
     return len(os.listdir("/proc/self/fd"))
 
 
-def _line(word: str, numbers: Iterable[int]) -> bytes:
+def _encode(word: str, numbers: Iterable[int]) -> bytes:
     return " ".join((word, *map(str, numbers))).encode() + b"\n"
 
 
-def say(sock: trio.socket.SocketType, word: str, *numbers: int) -> None:
+def send(sock: trio.socket.SocketType, word: str, *numbers: int) -> None:
     """Tell the other process; if it does not listen there is nobody to tell."""
     with contextlib.suppress(OSError):
-        os.write(sock.fileno(), _line(word, numbers))
+        os.write(sock.fileno(), _encode(word, numbers))
 
 
-def say_all(sock: trio.socket.SocketType, word: str, rows: Iterable[tuple[int, ...]]) -> None:
+def send_all(sock: trio.socket.SocketType, word: str, rows: Iterable[tuple[int, ...]]) -> None:
     """Tell the other process one word for each row, and wait for it to take them in, `SAY_ALL_S` at most.
 
     Guards against words lost in a full queue: each write of its own takes many times its size there.
     """
-    data = memoryview(b"".join(_line(word, numbers) for numbers in rows))
+    data = memoryview(b"".join(_encode(word, numbers) for numbers in rows))
     writable = select.poll()
     writable.register(sock.fileno(), select.POLLOUT)
-    until = time.monotonic() + SAY_ALL_S
+    until = time.monotonic() + SEND_ALL_TIMEOUT_S
     with contextlib.suppress(OSError):
         while data and time.monotonic() < until:
             try:
@@ -65,11 +65,11 @@
                 writable.poll(max(1, int(1000 * (until - time.monotonic()))))
 
 
-async def hear(sock: trio.socket.SocketType) -> AsyncIterator[tuple[str, list[int]]]:
+async def receive(sock: trio.socket.SocketType) -> AsyncIterator[tuple[str, list[int]]]:
     """The other process's words, each with its numbers, until it ends; what cannot be read is passed over."""
     unread = b""
     with contextlib.suppress(OSError):
-        while len(unread) < MOST_WORDS and (data := await sock.recv(MOST_WORDS)):
+        while len(unread) < MAX_UNREAD_BYTES and (data := await sock.recv(MAX_UNREAD_BYTES)):
             *lines, unread = (unread + data).split(b"\n")
             for line in lines:
                 word, *numbers = line.decode("ascii", "replace").split() or [""]
@@ -77,13 +77,13 @@
                     yield word, [int(n) for n in numbers]
 
 
-async def give(sock: trio.socket.SocketType, listener: trio.socket.SocketType) -> None:
+async def send_listener(sock: trio.socket.SocketType, listener: trio.socket.SocketType) -> None:
     """Hand the listener over, with an empty line."""
     handle = array.array("i", [listener.fileno()])
     await sock.sendmsg([b"\n"], [(socket.SOL_SOCKET, socket.SCM_RIGHTS, handle)])
 
 
-async def inherit(
+async def receive_listener(
     path: Path | None, address: tuple[str, int]
 ) -> tuple[trio.socket.SocketType, trio.socket.SocketType] | None:
     """The listener of the process that serves at the address, and the connection to it; None without one."""
@@ -93,9 +93,9 @@
     handles = array.array("i")
     inherited = None
     try:
-        with trio.fail_after(PATIENCE_S):
+        with trio.fail_after(PREDECESSOR_TIMEOUT_S):
             await sock.connect(str(path))
-            _, extra, _, _ = await sock.recvmsg(MOST_WORDS, socket.CMSG_SPACE(handles.itemsize))
+            _, extra, _, _ = await sock.recvmsg(MAX_UNREAD_BYTES, socket.CMSG_SPACE(handles.itemsize))
         for level, kind, data in extra:
             if (level, kind) == (socket.SOL_SOCKET, socket.SCM_RIGHTS):
                 handles.frombytes(data[: len(data) - len(data) % handles.itemsize])
@@ -118,7 +118,7 @@
 
 
 @contextlib.asynccontextmanager
-async def published(path: Path | None) -> AsyncIterator[trio.socket.SocketType | None]:
+async def listen_for_successors(path: Path | None) -> AsyncIterator[trio.socket.SocketType | None]:
     """A socket for successors at the path, in place of whatever lies there; None if that cannot be."""
     if path is None:
         yield None
--- a/latchturn/operations.py
+++ b/latchturn/operations.py
@@ -10,9 +10,9 @@
 from collections.abc import Mapping
 from enum import Enum
 
-PREFIX = "edge_gw"
-MAX_LINE = 256  # bytes of a call
-UNFIT = re.compile(r"[^A-Za-z0-9_-]")  # what StatsD has other uses for, in a class name
+METRIC_PREFIX = "edge_gw"
+MAX_LINE_BYTES = 256  # bytes of a call
+INVALID_NAME_CHARACTERS = re.compile(r"[^A-Za-z0-9_-]")  # what StatsD has other uses for, in a class name
 
 
 class Command(Enum):
@@ -25,9 +25,9 @@
 
 
 # Every figure that staff read, with its StatsD type: counts from the start of the process, and gauges.
-BY_CLASS = ("succeeded", "declined", "aborted")
-FIGURES = {
-    **dict.fromkeys(BY_CLASS, "c"),
+CLASS_FIGURES = ("succeeded", "declined", "aborted")
+FIGURE_TYPES = {
+    **dict.fromkeys(CLASS_FIGURES, "c"),
     "forwards": "c",
     "outstanding": "g",
     "discovered": "g",
@@ -37,7 +37,7 @@
 }
 
 
-def parse(line: bytes) -> Command | None:
+def parse_command(line: bytes) -> Command | None:
     """The call in a line, None if it is none."""
     try:
         return Command(line.decode("ascii").strip())
@@ -45,21 +45,21 @@
         return None
 
 
-def by_class(name: str, class_name: str) -> str:
+def class_figure_name(name: str, class_name: str) -> str:
     """The name of a class's figure."""
-    return f"{name}.{UNFIT.sub('_', class_name)}"
+    return f"{name}.{INVALID_NAME_CHARACTERS.sub('_', class_name)}"
 
 
-def render(figures: Mapping[str, int]) -> str:
+def render_statsd(figures: Mapping[str, int]) -> str:
     """The figures of the table among those given, one a line."""
     return "".join(
-        f"{PREFIX}.{name}:{value}|{FIGURES[kind]}\n"
+        f"{METRIC_PREFIX}.{name}:{value}|{FIGURE_TYPES[kind]}\n"
         for name, value in figures.items()
-        if (kind := name.partition(".")[0]) in FIGURES
+        if (kind := name.partition(".")[0]) in FIGURE_TYPES
     )
 
 
-def answer(good: bool, text: str, figures: Mapping[str, int] | None = None) -> bytes:
+def encode_answer(success: bool, text: str, figures: Mapping[str, int] | None = None) -> bytes:
     """An answer as its bytes: a line, and behind it the figures, if any, and their end."""
-    body = "" if figures is None else render(figures) + "END\n"
-    return f"{'OK' if good else 'ERR'} {text}\n{body}".encode()
+    body = "" if figures is None else render_statsd(figures) + "END\n"
+    return f"{'OK' if success else 'ERR'} {text}\n{body}".encode()
--- a/latchturn/protocol.py
+++ b/latchturn/protocol.py
@@ -18,17 +18,17 @@
 
 from .interface import ListEntry, ListKind, ListState
 
-MAX_MESSAGE = 16 * 1024
-MAX_FRAME = 4 * 1024 * 1024  # a whole list of 150,000 exchanges
-HEAD = struct.Struct(">HBQ")
-PARAMETER = struct.Struct(">BH")
-FRAME_HEAD = struct.Struct(">IQB")
+MAX_MESSAGE_BYTES = 16 * 1024
+MAX_FRAME_BYTES = 4 * 1024 * 1024  # a whole list of 150,000 exchanges
+MESSAGE_HEADER = struct.Struct(">HBQ")
+PARAMETER_HEADER = struct.Struct(">BH")
+FRAME_HEADER = struct.Struct(">IQB")
 RECORD = struct.Struct(">I4sHBBBHIQ")
 CURSOR = struct.Struct(">Q")
-WHOLE = re.compile(r"-?[0-9]{1,9}(\.0+)?", re.ASCII)  # a figure of a set-up
+WHOLE_NUMBER = re.compile(r"-?[0-9]{1,9}(\.0+)?", re.ASCII)  # a figure of a set-up
 
-STATES = {0: ListState.READY, 1: ListState.DRAINING, 2: ListState.GONE}
-STATUSES = {"ready": ListState.READY, "draining": ListState.DRAINING, "gone": ListState.GONE}
+LIST_STATE_BY_CODE = {0: ListState.READY, 1: ListState.DRAINING, 2: ListState.GONE}
+LIST_STATE_BY_STATUS = {"ready": ListState.READY, "draining": ListState.DRAINING, "gone": ListState.GONE}
 
 
 MAY_BE_ABSENT = ("admin_addr", "aim-stretch", "fleet")  # keys of the configuration
@@ -42,7 +42,7 @@
     """A configuration that cannot be used: what, and where in it."""
 
 
-class Type(IntEnum):
+class MessageType(IntEnum):
     """Message types."""
 
     SET_UP = 1
@@ -55,7 +55,7 @@
     HEALTH_CHECK_RESULT = 53
 
 
-class Code(IntEnum):
+class ParameterCode(IntEnum):
     """Parameter codes."""
 
     CLASS = 129
@@ -167,65 +167,65 @@
     """The bytes of one message; ValueError if it would be too long."""
     parameters: list[tuple[int, bytes]] = []
     if isinstance(message, SetUp):
-        kind = Type.SET_UP
+        kind = MessageType.SET_UP
         parameters = [
-            (Code.CLASS, message.class_name.encode()),
-            (Code.WAIT_MS, b"%d" % message.wait_ms),
-            (Code.CALLED, message.called.encode()),
+            (ParameterCode.CLASS, message.class_name.encode()),
+            (ParameterCode.WAIT_MS, b"%d" % message.wait_ms),
+            (ParameterCode.CALLED, message.called.encode()),
         ]
         if message.tenant:
-            parameters.append((Code.TENANT, message.tenant.encode()))
+            parameters.append((ParameterCode.TENANT, message.tenant.encode()))
         if message.figures:
-            parameters.append((Code.FIGURES, _join(message.figures)))
-        parameters.append((Code.DESCRIPTION, message.description))
+            parameters.append((ParameterCode.FIGURES, _encode_figures(message.figures)))
+        parameters.append((ParameterCode.DESCRIPTION, message.description))
     elif isinstance(message, Answer):
-        kind = Type.ANSWER
-        parameters = [(Code.DESCRIPTION, message.description)]
+        kind = MessageType.ANSWER
+        parameters = [(ParameterCode.DESCRIPTION, message.description)]
         if message.report is not None:
-            parameters.append((Code.REPORT, _join(message.report)))
+            parameters.append((ParameterCode.REPORT, _encode_figures(message.report)))
     elif isinstance(message, Release):
-        kind = Type.RELEASE
-        parameters = [(Code.CAUSE, bytes([message.cause]))]
+        kind = MessageType.RELEASE
+        parameters = [(ParameterCode.CAUSE, bytes([message.cause]))]
         if message.note:
-            parameters.append((Code.NOTE, message.note.encode()))
+            parameters.append((ParameterCode.NOTE, message.note.encode()))
         if message.retry_after_ms:
-            parameters.append((Code.RETRY_AFTER_MS, b"%d" % message.retry_after_ms))
+            parameters.append((ParameterCode.RETRY_AFTER_MS, b"%d" % message.retry_after_ms))
         if message.report is not None:
-            parameters.append((Code.REPORT, _join(message.report)))
+            parameters.append((ParameterCode.REPORT, _encode_figures(message.report)))
     elif isinstance(message, GroupState):
-        kind, parameters = Type.GROUP_STATE, [(Code.REPORT, _join(message.report))]
+        kind, parameters = MessageType.GROUP_STATE, [(ParameterCode.REPORT, _encode_figures(message.report))]
     elif isinstance(message, HealthCheck):
-        kind, parameters = Type.HEALTH_CHECK, [(Code.CAUSE, b"\0")]
+        kind, parameters = MessageType.HEALTH_CHECK, [(ParameterCode.CAUSE, b"\0")]
     elif isinstance(message, HealthCheckResult):
-        kind, parameters = Type.HEALTH_CHECK_RESULT, [(Code.CAUSE, bytes([message.passed]))]
+        kind, parameters = MessageType.HEALTH_CHECK_RESULT, [(ParameterCode.CAUSE, bytes([message.passed]))]
     elif isinstance(message, Progress):
-        kind = Type.PROGRESS
+        kind = MessageType.PROGRESS
     elif isinstance(message, ReleaseConfirmed):
-        kind = Type.RELEASE_CONFIRMED
+        kind = MessageType.RELEASE_CONFIRMED
     else:
         raise ValueError(f"{message} is not sent")
-    body = b"".join(PARAMETER.pack(code, len(value)) + value for code, value in parameters)
-    length = HEAD.size - 2 + len(body)
-    if length > MAX_MESSAGE:
+    body = b"".join(PARAMETER_HEADER.pack(code, len(value)) + value for code, value in parameters)
+    length = MESSAGE_HEADER.size - 2 + len(body)
+    if length > MAX_MESSAGE_BYTES:
         raise ValueError(f"message of {length} bytes")
-    return HEAD.pack(length, kind, message.call) + body
+    return MESSAGE_HEADER.pack(length, kind, message.call) + body
 
 
 # What an exchange sends after an answer, by the type and the call behind the length of a message.
-FOLLOWING = (Type.ANSWER, Type.RELEASE, Type.PROGRESS, Type.RELEASE_CONFIRMED)
-GROUP_STATE_HEAD = bytes([Type.GROUP_STATE]) + bytes(8)
+TYPES_AFTER_ANSWER = (MessageType.ANSWER, MessageType.RELEASE, MessageType.PROGRESS, MessageType.RELEASE_CONFIRMED)
+GROUP_STATE_HEADER = bytes([MessageType.GROUP_STATE]) + bytes(8)
 
 
-def holds_head_of_message(data: bytes, calls: Iterable[int]) -> bool:
+def contains_message_header(data: bytes, calls: Iterable[int]) -> bool:
     """Whether bytes hold the head of a message for one of some calls, or of a group state.
 
     An answer that stopped short is completed by the bytes of the message behind it; its lengths are right all the same.
     """
-    if GROUP_STATE_HEAD in data:
+    if GROUP_STATE_HEADER in data:
         return True
     for call in calls:
         at = data.find(call.to_bytes(8, "big"), 1)
-        if at > 0 and data[at - 1] in FOLLOWING:
+        if at > 0 and data[at - 1] in TYPES_AFTER_ANSWER:
             return True
     return False
 
@@ -236,15 +236,15 @@
 class Decoder(Generic[T]):
     """Cuts a byte stream into pieces that begin with their length, however it arrives."""
 
-    def __init__(self, width: int, least: int, most: int, decode: Callable[[bytes], T]) -> None:
-        self._width = width  # bytes of the length, which counts all that follows it
-        self._least = least
-        self._most = most
+    def __init__(self, length_bytes: int, min_length: int, max_length: int, decode: Callable[[bytes], T]) -> None:
+        self._length_bytes = length_bytes  # bytes of the length, which counts all that follows it
+        self._min_length = min_length
+        self._max_length = max_length
         self._decode = decode
         self._unread = bytearray()
 
     @property
-    def half_read(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether a piece has begun to come and is not whole yet."""
         return bool(self._unread)
 
@@ -253,11 +253,11 @@
         self._unread += data
         at = 0
         try:
-            while len(self._unread) - at >= self._width:
-                length = int.from_bytes(self._unread[at : at + self._width], "big")
-                if not self._least <= length <= self._most:
+            while len(self._unread) - at >= self._length_bytes:
+                length = int.from_bytes(self._unread[at : at + self._length_bytes], "big")
+                if not self._min_length <= length <= self._max_length:
                     raise ProtocolError(f"message of {length} bytes")
-                end = at + self._width + length
+                end = at + self._length_bytes + length
                 if len(self._unread) < end:
                     return
                 raw = bytes(self._unread[at:end])
@@ -269,61 +269,63 @@
 
 def message_decoder() -> Decoder[Message]:
     """A decoder for messages."""
-    return Decoder(2, HEAD.size - 2, MAX_MESSAGE, _decode)
+    return Decoder(2, MESSAGE_HEADER.size - 2, MAX_MESSAGE_BYTES, _decode_message)
 
 
-def _decode(raw: bytes) -> Message:
-    _, kind, call = HEAD.unpack_from(raw)
+def _decode_message(raw: bytes) -> Message:
+    _, kind, call = MESSAGE_HEADER.unpack_from(raw)
     values: dict[int, bytes] = {}
-    twice = 0
-    at = HEAD.size
+    repeated_code = 0
+    at = MESSAGE_HEADER.size
     while at < len(raw):
-        if at + PARAMETER.size > len(raw):
+        if at + PARAMETER_HEADER.size > len(raw):
             raise ProtocolError("parameter cut short")
-        code, size = PARAMETER.unpack_from(raw, at)
-        at += PARAMETER.size
+        code, size = PARAMETER_HEADER.unpack_from(raw, at)
+        at += PARAMETER_HEADER.size
         if at + size > len(raw):
             raise ProtocolError(f"parameter {code} goes past its message")
-        twice = code if code in values else twice
+        repeated_code = code if code in values else repeated_code
         values[code] = raw[at : at + size]
         at += size
-    if kind == Type.SET_UP:
+    if kind == MessageType.SET_UP:
         try:
-            if twice:
-                raise ProtocolError(f"parameter {twice} comes twice")
-            if not values.get(Code.DESCRIPTION):
+            if repeated_code:
+                raise ProtocolError(f"parameter {repeated_code} comes twice")
+            if not values.get(ParameterCode.DESCRIPTION):
                 raise ProtocolError("a set-up without description")
             return SetUp(
                 call,
-                _text(values, Code.CLASS),
-                _number(values, Code.WAIT_MS),
-                _text(values, Code.CALLED),
-                values[Code.DESCRIPTION],
-                _whole_figures(values),
-                _text(values, Code.TENANT) if Code.TENANT in values else "",
+                _decode_text(values, ParameterCode.CLASS),
+                _decode_number(values, ParameterCode.WAIT_MS),
+                _decode_text(values, ParameterCode.CALLED),
+                values[ParameterCode.DESCRIPTION],
+                _decode_whole_figures(values),
+                _decode_text(values, ParameterCode.TENANT) if ParameterCode.TENANT in values else "",
             )
         except ProtocolError as error:  # its borders are whole, so what follows it can be read
             return InvalidSetUp(call, str(error))
-    if kind == Type.PROGRESS:
+    if kind == MessageType.PROGRESS:
         return Progress(call)
-    if kind == Type.ANSWER:
-        return Answer(call, values.get(Code.DESCRIPTION, b""), _report(values))
-    if kind == Type.RELEASE:
-        note = _text(values, Code.NOTE) if Code.NOTE in values else ""
-        stay = _number(values, Code.RETRY_AFTER_MS) if Code.RETRY_AFTER_MS in values else 0
-        return Release(call, _cause(values), note, stay, _report(values))
-    if kind == Type.RELEASE_CONFIRMED:
+    if kind == MessageType.ANSWER:
+        return Answer(call, values.get(ParameterCode.DESCRIPTION, b""), _decode_report(values))
+    if kind == MessageType.RELEASE:
+        note = _decode_text(values, ParameterCode.NOTE) if ParameterCode.NOTE in values else ""
+        retry_after_ms = (
+            _decode_number(values, ParameterCode.RETRY_AFTER_MS) if ParameterCode.RETRY_AFTER_MS in values else 0
+        )
+        return Release(call, _decode_cause(values), note, retry_after_ms, _decode_report(values))
+    if kind == MessageType.RELEASE_CONFIRMED:
         return ReleaseConfirmed(call)
-    if kind == Type.HEALTH_CHECK:
+    if kind == MessageType.HEALTH_CHECK:
         return HealthCheck(call)
-    if kind == Type.HEALTH_CHECK_RESULT:
-        return HealthCheckResult(call, _cause(values) == 1)
-    if kind == Type.GROUP_STATE:
-        return GroupState(call, _figures(values, Code.REPORT))
+    if kind == MessageType.HEALTH_CHECK_RESULT:
+        return HealthCheckResult(call, _decode_cause(values) == 1)
+    if kind == MessageType.GROUP_STATE:
+        return GroupState(call, _decode_figures(values, ParameterCode.REPORT))
     return UnknownMessage(call, kind)
 
 
-def _text(values: Mapping[int, bytes], code: int) -> str:
+def _decode_text(values: Mapping[int, bytes], code: int) -> str:
     if code not in values:
         raise ProtocolError(f"parameter {int(code)} is missing")
     try:
@@ -332,28 +334,28 @@
         raise ProtocolError(f"parameter {int(code)} is not text") from None
 
 
-def _number(values: Mapping[int, bytes], code: int) -> int:
-    text = _text(values, code)
+def _decode_number(values: Mapping[int, bytes], code: int) -> int:
+    text = _decode_text(values, code)
     # isdecimal alone lets other scripts' digits through, and int() lets signs and underscores through.
     if not (text.isascii() and text.isdecimal() and len(text) <= 18):
         raise ProtocolError(f"parameter {int(code)} is no number: {text!r:.40}")
     return int(text)
 
 
-def _cause(values: Mapping[int, bytes]) -> int:
-    value = values.get(Code.CAUSE, b"")
+def _decode_cause(values: Mapping[int, bytes]) -> int:
+    value = values.get(ParameterCode.CAUSE, b"")
     if len(value) != 1:
         raise ProtocolError("a cause that is not one byte")
     return value[0]
 
 
-def _figures(values: Mapping[int, bytes], code: int) -> dict[str, float]:
+def _decode_figures(values: Mapping[int, bytes], code: int) -> dict[str, float]:
     """Figures in the form `dest:2;width:1`."""
     figures: dict[str, float] = {}
-    for part in _text(values, code).split(";") if code in values else ():
-        name, sign, value = part.partition(":")
+    for part in _decode_text(values, code).split(";") if code in values else ():
+        name, separator, value = part.partition(":")
         try:
-            number = float(value) if sign else 0.0
+            number = float(value) if separator else 0.0
         except ValueError:
             raise ProtocolError(f"figure {part!r:.40} cannot be read") from None
         if abs(number) > 1e15 or number != number:
@@ -363,22 +365,22 @@
     return figures
 
 
-def _whole_figures(values: Mapping[int, bytes]) -> dict[str, int]:
+def _decode_whole_figures(values: Mapping[int, bytes]) -> dict[str, int]:
     """The figures of a set-up: whole numbers, each name once."""
     figures: dict[str, int] = {}
-    for part in _text(values, Code.FIGURES).split(";") if Code.FIGURES in values else ():
+    for part in _decode_text(values, ParameterCode.FIGURES).split(";") if ParameterCode.FIGURES in values else ():
         name, _, value = part.partition(":")
-        if not WHOLE.fullmatch(value) or not name or name in figures:
+        if not WHOLE_NUMBER.fullmatch(value) or not name or name in figures:
             raise ProtocolError(f"figure {part!r:.40} cannot be")
         figures[name] = int(value.partition(".")[0])
     return figures
 
 
-def _report(values: Mapping[int, bytes]) -> dict[str, float] | None:
-    return _figures(values, Code.REPORT) if Code.REPORT in values else None
+def _decode_report(values: Mapping[int, bytes]) -> dict[str, float] | None:
+    return _decode_figures(values, ParameterCode.REPORT) if ParameterCode.REPORT in values else None
 
 
-def _join(figures: Mapping[str, float]) -> bytes:
+def _encode_figures(figures: Mapping[str, float]) -> bytes:
     return ";".join(f"{name}:{value:g}" for name, value in figures.items()).encode()
 
 
@@ -404,28 +406,28 @@
 
 def frame_decoder() -> Decoder[ListUpdate]:
     """A decoder for the frames of the command channel."""
-    return Decoder(4, 0, MAX_FRAME, _decode_frame)
+    return Decoder(4, 0, MAX_FRAME_BYTES, _decode_frame)
 
 
 def _decode_frame(raw: bytes) -> ListUpdate:
     if len(raw) == 4:
         return ListUpdate(0, None)
-    if len(raw) < FRAME_HEAD.size:
+    if len(raw) < FRAME_HEADER.size:
         raise ProtocolError(f"frame of {len(raw)} bytes")
-    _, number, kind = FRAME_HEAD.unpack_from(raw)
+    _, number, kind = FRAME_HEADER.unpack_from(raw)
     if kind == 0:
         return ListUpdate(number, None)
     if kind not in (1, 2):
         raise ProtocolError(f"frame of unknown kind {kind}")
-    if (len(raw) - FRAME_HEAD.size) % RECORD.size:
+    if (len(raw) - FRAME_HEADER.size) % RECORD.size:
         raise ProtocolError("records that do not fill their frame")
     listed = []
-    for ident, address, port, state, _zone, _kind, cell, _weight, started_ms in RECORD.iter_unpack(
-        raw[FRAME_HEAD.size :]
+    for exchange_id, address, port, state, _zone, _kind, exchange_number, _weight, started_ms in RECORD.iter_unpack(
+        raw[FRAME_HEADER.size :]
     ):
-        if state not in STATES:
-            raise ProtocolError(f"exchange {ident} in unknown state {state}")
-        entry = ListEntry(ident, cell, STATES[state], started_ms * 1000)
+        if state not in LIST_STATE_BY_CODE:
+            raise ProtocolError(f"exchange {exchange_id} in unknown state {state}")
+        entry = ListEntry(exchange_id, exchange_number, LIST_STATE_BY_CODE[state], started_ms * 1000)
         listed.append(ExchangeRecord(entry, (".".join(map(str, address)), port)))
     return ListUpdate(number, ListKind.FULL if kind == 1 else ListKind.CHANGES, tuple(listed))
 
@@ -472,7 +474,7 @@
             known=tuple(_known_update(command) for command in known["cmds"]),
             settings=flatten_settings(data["settings"]),
             admin=parse_address(data["admin_addr"]) if data.get("admin_addr") else None,
-            keys=frozenset(_paths("", data)),
+            keys=frozenset(_key_paths("", data)),
         )
     except KeyError as error:
         raise ConfigError(f"{path}: {error.args[0]} is missing") from None
@@ -480,15 +482,15 @@
         raise ConfigError(f"{path}: {error}") from None
 
 
-def _paths(path: str, value: Any) -> set[str]:
+def _key_paths(path: str, value: Any) -> set[str]:
     """The paths of the keys in a value; in a list, of those that all items have."""
     paths: set[str] = set()
     if isinstance(value, Mapping):
         for key, inner in value.items():
             if key not in MAY_BE_ABSENT:
-                paths |= {f"{path}.{key}"} | (_paths(f"{path}.{key}", inner) if key != "known" else set())
+                paths |= {f"{path}.{key}"} | (_key_paths(f"{path}.{key}", inner) if key != "known" else set())
     elif isinstance(value, list) and value:
-        paths = set.intersection(*(_paths(path, item) for item in value))
+        paths = set.intersection(*(_key_paths(path, item) for item in value))
     return paths
 
 
@@ -496,12 +498,12 @@
     nodes = command["nodes"]
     listed = []
     for endpoint in nodes["endpoints"]:
-        if endpoint["status"] not in STATUSES:
+        if endpoint["status"] not in LIST_STATE_BY_STATUS:
             raise ValueError(f"unknown status {endpoint['status']!r}")
         entry = ListEntry(
             int(endpoint["name"].removeprefix("s-"), 16),
             int(endpoint["group"]),
-            STATUSES[endpoint["status"]],
+            LIST_STATE_BY_STATUS[endpoint["status"]],
             int(endpoint["since_ms"]) * 1000,
         )
         listed.append(ExchangeRecord(entry, parse_address(endpoint["address"])))
@@ -511,13 +513,13 @@
 
 def parse_address(text: str) -> tuple[str, int]:
     """Host and port of `host:port`."""
-    host, sign, port = text.rpartition(":")
-    if not (sign and host and port.isascii() and port.isdecimal() and int(port) < 65536):
+    host, separator, port = text.rpartition(":")
+    if not (separator and host and port.isascii() and port.isdecimal() and int(port) < 65536):
         raise ValueError(f"{text!r} is no address")
     return host, int(port)
 
 
-def settings_word(text: str) -> str:
+def settings_text(text: str) -> str:
     """A text value as the settings write it."""
     return text.replace(" ", "_").replace(",", "_")
 
@@ -526,24 +528,24 @@
     """Nested settings as the simulator's wire writes them: path=value, one a line."""
     if not isinstance(settings, Mapping):
         raise ValueError("settings is no object")
-    return "".join(f"{path}={value}\n" for path, value in _flat("", settings))
+    return "".join(f"{path}={value}\n" for path, value in _flatten("", settings))
 
 
-def _flat(path: str, value: Any) -> Iterator[tuple[str, str]]:
+def _flatten(path: str, value: Any) -> Iterator[tuple[str, str]]:
     if isinstance(value, Mapping):
         for key, inner in value.items():
-            yield from _flat(f"{path}.{key}" if path else key, inner)
+            yield from _flatten(f"{path}.{key}" if path else key, inner)
     elif isinstance(value, list) and any(isinstance(item, Mapping | list) for item in value):
         yield f"{path}.count", str(len(value))
         for k, item in enumerate(value):
-            yield from _flat(f"{path}.{k}", item)
+            yield from _flatten(f"{path}.{k}", item)
     elif isinstance(value, list):
-        yield path, ",".join(_word(item) for item in value)
+        yield path, ",".join(_settings_value(item) for item in value)
     else:
-        yield path, _word(value)
+        yield path, _settings_value(value)
 
 
-def _word(value: Any) -> str:
+def _settings_value(value: Any) -> str:
     if isinstance(value, bool):
         return "true" if value else "false"
-    return "" if value is None else settings_word(str(value))
+    return "" if value is None else settings_text(str(value))
--- a/latchturn/session/calls.py
+++ b/latchturn/session/calls.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from .. import interface as i
-from ..protocol import Answer, Release, ReleaseCause, SetUp, settings_word
+from ..protocol import Answer, Release, ReleaseCause, SetUp, settings_text
 from .limits import CUT_CALLS_LOGGED, DEADLINE_MARGIN_US, FORGET_US, OVER_MOST, OVERDUE_US
 from .machines import CALL, CallMove
 from .part import Part
@@ -36,7 +36,7 @@
         self.core.events.append(
             i.CallOffered(
                 call=set_up.call,
-                class_index=self.classes.by_name[settings_word(set_up.class_name)],
+                class_index=self.classes.by_name[settings_text(set_up.class_name)],
                 destination=figures["dest"],
                 called=int(set_up.called, 16),
                 width=figures["width"],
--- a/latchturn/session/classes.py
+++ b/latchturn/session/classes.py
@@ -7,7 +7,7 @@
 
 from .. import interface as i
 from .. import operations
-from ..protocol import SetUp, settings_word
+from ..protocol import SetUp, settings_text
 from .limits import NUMBERS
 from .part import Part
 
@@ -25,30 +25,30 @@
         """Let settings count, and for as long as their callers may go on trying, the classes before too."""
         self.read = settings
         old = () if before is None else before.classes
-        self.before = {settings_word(c.name): c for c in old}
+        self.before = {settings_text(c.name): c for c in old}
         self.before_until_us = self.core.now + max((c.give_up_us for c in old), default=0)
-        names = {settings_word(c.name) for c in settings.classes}
+        names = {settings_text(c.name) for c in settings.classes}
         left = tuple(c for name, c in self.before.items() if name not in names)
         tenants = () if before is None or not settings.tenants else before.tenants
         self.settings = replace(settings, classes=settings.classes + left)
-        self.by_name = {settings_word(c.name): k for k, c in enumerate(self.settings.classes)}
+        self.by_name = {settings_text(c.name): k for k, c in enumerate(self.settings.classes)}
         self.served.update(dict.fromkeys(self.by_name))
-        self.tenants = frozenset(settings_word(name) for name in (*settings.tenants, *tenants))
+        self.tenants = frozenset(settings_text(name) for name in (*settings.tenants, *tenants))
 
     def count(self, name: str, class_name: str) -> None:
         """Count the end of a set-up of a class."""
-        self.core.counters[operations.by_class(name, settings_word(class_name))] += 1
+        self.core.counters[operations.class_figure_name(name, settings_text(class_name))] += 1
 
     def unusable(self, set_up: SetUp) -> str:
         """What is wrong with a set-up that has been read, by the settings and the protocol."""
-        number = self.by_name.get(settings_word(set_up.class_name))
+        number = self.by_name.get(settings_text(set_up.class_name))
         if number is None:
             return "unknown class"
         cls, figures = self.settings.classes[number], set_up.figures
-        before = self.before.get(settings_word(set_up.class_name), cls)
+        before = self.before.get(settings_text(set_up.class_name), cls)
         good = {
             "id": set_up.call != 0,
-            "tenant": not self.tenants or settings_word(set_up.tenant) in self.tenants,
+            "tenant": not self.tenants or settings_text(set_up.tenant) in self.tenants,
             "number called": CALLED.fullmatch(set_up.called) is not None,
             "wait": 1 <= set_up.wait_ms <= max(cls.give_up_us, before.give_up_us) // 1000 + 1,
             "dest": 0 <= figures.get("dest", -1) < NUMBERS,
--- a/latchturn/session/exchanges.py
+++ b/latchturn/session/exchanges.py
@@ -17,7 +17,7 @@
     Release,
     ReleaseCause,
     ReleaseConfirmed,
-    holds_head_of_message,
+    contains_message_header,
 )
 from .limits import COPY_US, EXCHANGE_RELEASE_US
 from .machines import CALL, AttemptState, CallMove
@@ -165,7 +165,7 @@
         Guards against passing on a description that no exchange made: with the answer spoilt, its attempt ends as cut.
         """
         calls = {answer.call, *exchange.standing, *(attempt.call.ident for attempt in link.attempts)}
-        return holds_head_of_message(answer.description, calls)
+        return contains_message_header(answer.description, calls)
 
     def is_copy(self, exchange: Exchange, link: Link, figures: Mapping[str, float]) -> bool:
         """Whether a group state has been heard on another link already: it comes on each that is open.
--- a/latchturn/session/phases.py
+++ b/latchturn/session/phases.py
@@ -82,7 +82,7 @@
 
     def figures(self) -> dict[str, int]:
         """Every figure as it is now: those of the operators' table, then the other counters."""
-        names = [operations.by_class(n, c) for c in self.classes.served for n in operations.BY_CLASS]
+        names = [operations.class_figure_name(n, c) for c in self.classes.served for n in operations.CLASS_FIGURES]
         counted = ("forwards", "sighup_applied", "sighup_rejected")
         figures = {name: self.core.counters[name] for name in (*names, *counted)}
         # Those that stand too: they have not ended. Two processes are one session controller.
@@ -93,12 +93,12 @@
 
     def operate(self, command: operations.Command | None) -> bytes:
         if command is operations.Command.PING:
-            return operations.answer(self.phase is Phase.SERVING, self.phase.value)
+            return operations.encode_answer(self.phase is Phase.SERVING, self.phase.value)
         if command is operations.Command.INFO:
-            return operations.answer(True, self.phase.value, self.figures())
+            return operations.encode_answer(True, self.phase.value, self.figures())
         if command is not None:
             if self.phase is Phase.ENDING:
-                return operations.answer(False, self.phase.value)
+                return operations.encode_answer(False, self.phase.value)
             if command is operations.Command.REJOIN:
                 self.move(PhaseMove.REJOIN)
                 self.serve_again()
@@ -106,8 +106,8 @@
                 self.core.log(f"draining: {len(self.callers.by_stream)} connections, {len(self.calls.by_id)} calls")
                 self.move(PhaseMove.DRAIN)
                 self.drain(self.core.now + DRAIN_REFUSE_US, self.core.now + DRAIN_LAST_US)
-            return operations.answer(True, self.phase.value)
-        return operations.answer(False, "this can be asked: " + " ".join(c.value for c in operations.Command))
+            return operations.encode_answer(True, self.phase.value)
+        return operations.encode_answer(False, "this can be asked: " + " ".join(c.value for c in operations.Command))
 
     @property
     def phase(self) -> Phase:
--- a/rig/client.py
+++ b/rig/client.py
@@ -152,7 +152,7 @@
         kind = self.random.randrange(len(CLASS_NAMES))
         wait_us = self.record.longest_wait_us // (1 + kind)
         figures = {"dest": self.random.choice(self.destinations), "width": 1, "via": -1}
-        class_name = p.settings_word(CLASS_NAMES[kind])
+        class_name = p.settings_text(CLASS_NAMES[kind])
         message = p.SetUp(ident, class_name, wait_us // 1000, f"{ident:016x}", b"v=0\xff", figures, TENANT)
         call = Call(ident, self.habits.name, self.process, 0, wait_us, bad=self.garbled)
         self.open[ident] = call
--- a/rig/discovery.py
+++ b/rig/discovery.py
@@ -199,4 +199,4 @@
         endpoint.ident, socket.inet_aton(endpoint.host), endpoint.port, STATES[endpoint.state], 0, 0, endpoint.number,
         1000, endpoint.started_ms,
     )  # fmt: skip
-    return p.FRAME_HEAD.pack(p.FRAME_HEAD.size - 4 + len(record), number, 2) + record
+    return p.FRAME_HEADER.pack(p.FRAME_HEADER.size - 4 + len(record), number, 2) + record
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -405,4 +405,4 @@
         port = self.listeners[exchange].getsockname()[1]
         address = bytes([127, 0, 0, 1])
         record = p.RECORD.pack(100 + exchange, address, port, state, 0, 0, exchange, 1000, started_ms)
-        self.feed.sendall(p.FRAME_HEAD.pack(9 + len(record), number, 2) + record)
+        self.feed.sendall(p.FRAME_HEADER.pack(9 + len(record), number, 2) + record)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -171,11 +171,11 @@
         calls = [((1 << 64) - 1 - k, 101) for k in range(limits.CALLS_MOST)]
 
         async def bequeath(old: socket.socket) -> None:
-            h.say_all(trio.socket.from_stdlib_socket(old), h.STANDS, calls)
+            h.send_all(trio.socket.from_stdlib_socket(old), h.STANDING_CALL, calls)
 
         async def inherit(new: socket.socket) -> list[tuple[int, ...]]:
-            words = h.hear(trio.socket.from_stdlib_socket(new))
-            return [tuple(numbers) async for word, numbers in words if word == h.STANDS]
+            words = h.receive(trio.socket.from_stdlib_socket(new))
+            return [tuple(numbers) async for word, numbers in words if word == h.STANDING_CALL]
 
         old, new = socket.socketpair()
         for sock in (old, new):
@@ -187,7 +187,7 @@
 
     def test_a_process_that_reads_nothing_is_not_waited_for_long(self) -> None:
         async def say_too_much(old: socket.socket) -> None:
-            h.say_all(trio.socket.from_stdlib_socket(old), h.STANDS, [(k, 101) for k in range(200_000)])
+            h.send_all(trio.socket.from_stdlib_socket(old), h.STANDING_CALL, [(k, 101) for k in range(200_000)])
 
         old, new = socket.socketpair()
         for sock in (old, new):
@@ -216,14 +216,14 @@
     def test_stale_foreign_and_silent_files(self) -> None:
         async def start(path: Path) -> bool:
             began = time.monotonic()
-            self.assertIsNone(await h.inherit(path, ("127.0.0.1", 1)))
+            self.assertIsNone(await h.receive_listener(path, ("127.0.0.1", 1)))
             self.assertLess(time.monotonic() - began, 5)
-            async with h.published(path) as sock:
+            async with h.listen_for_successors(path) as sock:
                 return sock is not None
 
         for kind in ("nothing", "file", "folder", "dead", "silent"):
             with tempfile.TemporaryDirectory() as folder:
-                path = h.path_for(folder, ("127.0.0.1", 1))
+                path = h.socket_path(folder, ("127.0.0.1", 1))
                 laid = self.lay(kind, path)
                 self.assertEqual(trio.run(start, path), kind != "folder", kind)
                 self.assertEqual(os.listdir(folder), [path.name] if kind == "folder" else [], kind)
@@ -232,14 +232,14 @@
 
     def test_a_listener_at_another_address_or_no_listener_is_left(self) -> None:
         async def pass_on(given: socket.socket, path: Path) -> bool:
-            async with trio.open_nursery() as nursery, h.published(path) as successors:
+            async with trio.open_nursery() as nursery, h.listen_for_successors(path) as successors:
 
                 async def serve() -> None:
                     sock, _ = await successors.accept()
-                    await h.give(sock, trio.socket.from_stdlib_socket(given.dup()))
+                    await h.send_listener(sock, trio.socket.from_stdlib_socket(given.dup()))
 
                 nursery.start_soon(serve)
-                inherited = await h.inherit(path, address)
+                inherited = await h.receive_listener(path, address)
             return inherited is not None
 
         with (
@@ -249,18 +249,18 @@
             socket.socket() as unbound,
         ):
             address = right.getsockname()
-            path = h.path_for(folder, address)
+            path = h.socket_path(folder, address)
             for given, good in ((right, True), (other, False), (unbound, False)):
                 self.assertEqual(trio.run(pass_on, given, path), good)
 
     def test_without_a_folder_nothing_is_looked_for(self) -> None:
-        self.assertIsNone(h.path_for(None, ("127.0.0.1", 1)))
-        self.assertIsNone(trio.run(h.inherit, None, ("127.0.0.1", 1)))
+        self.assertIsNone(h.socket_path(None, ("127.0.0.1", 1)))
+        self.assertIsNone(trio.run(h.receive_listener, None, ("127.0.0.1", 1)))
 
 
 def found(program: Program) -> Path:
     """The path at which a successor finds the program, once it does."""
-    path = h.path_for(program.folder.name, ("127.0.0.1", program.port))
+    path = h.socket_path(program.folder.name, ("127.0.0.1", program.port))
     until = time.monotonic() + 10
     while not path.exists() and time.monotonic() < until:
         pass
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 from latchturn import protocol as p
-from latchturn.net import Polls
+from latchturn.net import PollMonitor
 
 from .helpers import Peer, Program, group_state, set_up
 
@@ -115,21 +115,21 @@
 class Waiting(unittest.TestCase):
     def test_input_may_have_come_since_the_last_look_that_did_not_show_it(self) -> None:
         now = 0
-        polls = Polls(lambda: now)
+        poll_monitor = PollMonitor(lambda: now)
 
         def look(at_ms: int, took_ms: int) -> None:
             nonlocal now
             now = at_ms * 1_000_000
-            polls.before_io_wait(1.0)
+            poll_monitor.before_io_wait(1.0)
             now += took_ms * 1_000_000
-            polls.after_io_wait(1.0)
+            poll_monitor.after_io_wait(1.0)
 
         look(10, 50)  # it waited: what it shows has come just now
         now += 1_000_000
-        self.assertEqual(polls.waited_us(), 1000)
+        self.assertEqual(poll_monitor.max_unread_us(), 1000)
         look(90, 0)  # it did not: what it shows may have come since the one before, at 60 ms
         now += 2_000_000
-        self.assertEqual(polls.waited_us(), 32_000)
+        self.assertEqual(poll_monitor.max_unread_us(), 32_000)
 
 
 class Life(unittest.TestCase):
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -11,7 +11,7 @@
 from latchturn import protocol as p
 from latchturn import session as s
 from latchturn.__main__ import with_admin_address
-from latchturn.net import unread
+from latchturn.net import unread_bytes
 from latchturn.session import limits
 
 from .helpers import SECOND, Desk, Program, set_up
@@ -26,20 +26,20 @@
             b"": None, b"ping": None, b"PING PING": None, b"\xff\xfe": None, b"QUIT": None,
         }  # fmt: skip
         for line, command in cases.items():
-            self.assertIs(o.parse(line), command, line)
+            self.assertIs(o.parse_command(line), command, line)
 
     def test_figures(self) -> None:
-        figures = {o.by_class("succeeded", "a.b:c|d"): 3, "outstanding": 0, "of_no_table": 5}
+        figures = {o.class_figure_name("succeeded", "a.b:c|d"): 3, "outstanding": 0, "of_no_table": 5}
         text = "edge_gw.succeeded.a_b_c_d:3|c\nedge_gw.outstanding:0|g\n"
-        self.assertEqual(o.render(figures), text)
-        self.assertEqual(o.answer(True, "well", figures), f"OK well\n{text}END\n".encode())
-        self.assertEqual(o.answer(False, "bad"), b"ERR bad\n")
+        self.assertEqual(o.render_statsd(figures), text)
+        self.assertEqual(o.encode_answer(True, "well", figures), f"OK well\n{text}END\n".encode())
+        self.assertEqual(o.encode_answer(False, "bad"), b"ERR bad\n")
 
 
 class Figures(unittest.TestCase):
     def test_each_end_of_a_request_counts_once_for_its_class(self) -> None:
         desk = Desk()
-        zeroes = {name: desk.figure(f"{name}.premium_quote") for name in o.BY_CLASS}
+        zeroes = {name: desk.figure(f"{name}.premium_quote") for name in o.CLASS_FIGURES}
         self.assertEqual(zeroes, {"succeeded": 0, "declined": 0, "aborted": 0})
         self.assertEqual((desk.figure("discovered"), desk.figure("ejected")), (3, 0))
         desk.stand(1)
@@ -48,7 +48,7 @@
         desk.hear(1, set_up(2))  # the same id again: which is meant cannot be told, it fails
         desk.hear(1, set_up(3, to=9))  # no such exchange: refused
         self.assertEqual(desk.figure("outstanding"), 1)
-        self.assertEqual([desk.figure(f"{name}.premium_quote") for name in o.BY_CLASS], [1, 1, 1])
+        self.assertEqual([desk.figure(f"{name}.premium_quote") for name in o.CLASS_FIGURES], [1, 1, 1])
 
     def test_an_attempt_counts_once_it_has_left_whole(self) -> None:
         desk = Desk()
@@ -190,9 +190,9 @@
     def test_what_lies_unread_keeps_its_connection_open(self) -> None:
         ours, theirs = socket.socketpair()
         with ours, theirs:
-            self.assertEqual(unread(ours), 0)
+            self.assertEqual(unread_bytes(ours), 0)
             theirs.sendall(b"abc")
-            self.assertEqual(unread(ours), 3)
+            self.assertEqual(unread_bytes(ours), 3)
 
 
 class AdminListener(unittest.TestCase):
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -109,10 +109,10 @@
 
     def test_16_kib_are_the_most(self) -> None:
         head = len(p.encode(p.Answer(1, b""))) - 2
-        fits = p.Answer(1, bytes(p.MAX_MESSAGE - head))
+        fits = p.Answer(1, bytes(p.MAX_MESSAGE_BYTES - head))
         self.assertEqual(list(p.message_decoder().feed(p.encode(fits))), [fits])
         with self.assertRaises(ValueError):
-            p.encode(p.Answer(1, bytes(p.MAX_MESSAGE - head + 1)))
+            p.encode(p.Answer(1, bytes(p.MAX_MESSAGE_BYTES - head + 1)))
 
     def test_random_bytes_raise_nothing_else(self) -> None:
         draw = random.Random(2)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -16,7 +16,7 @@
 from latchturn import protocol as p
 from latchturn import session as s
 from latchturn.__main__ import read
-from latchturn.net import Node
+from latchturn.net import Server
 from latchturn.session import limits
 
 from .helpers import NESTED, SECOND, SETTINGS, Bench, Desk, Program, changed, finals, sends, set_up
@@ -176,7 +176,7 @@
             path = Path(folder) / "config.json"
             path.write_text(json.dumps({**good, "admin_addr": "127.0.0.1:3"}))
             config, _ = read(str(path))
-            node = Node(config, Core(), lambda: read(str(path)))  # type: ignore[arg-type]
+            server = Server(config, Core(), lambda: read(str(path)))  # type: ignore[arg-type]
             texts = {"empty": "", "cut off": json.dumps(good)[:-30], "a list": "[]"}
             for name, spoil in BROKEN.items():
                 data = copy.deepcopy(good)
@@ -184,7 +184,7 @@
                 texts[name] = json.dumps(data)
             for name, text in texts.items():
                 path.write_text(text)
-                node._reconfigure()
+                server._reconfigure()
                 self.assertIsInstance(inputs.pop(), s.ConfigTurnedDown, name)
             more = copy.deepcopy(good)
             first = more["settings"]["grades"][0]
@@ -192,7 +192,7 @@
             more["settings"]["family-info"].update({"widths": [1, 1], "class-hold-us": [1, 1]})
             for data in (good, more):
                 path.write_text(json.dumps(data))
-                node._reconfigure()
+                server._reconfigure()
                 self.assertIsInstance(inputs.pop(), s.Reconfigured)
 
     def test_on_sockets(self) -> None:
