--- a/latchturn/admin.py
+++ b/latchturn/admin.py
@@ -44,7 +44,7 @@
         try:
             with sock, connection.scope, trio.move_on_after(CONNECTION_TIMEOUT_S), contextlib.suppress(OSError):
                 line = await self._read_line(sock)
-                self._submit(session.Operation(connection_id, operations.parse_command(line)))
+                self._submit(session.AdminRequest(connection_id, operations.parse_command(line)))
                 while connection.reply:
                     connection.reply = connection.reply[await sock.send(connection.reply) :]
                 sock.shutdown(trio.socket.SHUT_WR)
--- a/latchturn/checking/plants.py
+++ b/latchturn/checking/plants.py
@@ -13,13 +13,25 @@
 from .. import interface as i
 from .. import protocol as p
 from ..brain import Controller
-from ..session import attempts, callers, calls, end_notices, exchanges, links, module, phases, reducer, timers, writing
+from ..session import (
+    attempts,
+    callers,
+    calls,
+    decision_module,
+    end_notices,
+    exchanges,
+    links,
+    phases,
+    reducer,
+    timers,
+    writing,
+)
+from ..session.inputs_and_effects import Close
 from ..session.timers import TimerKind
-from ..session.words import Close
 
 
 @dataclass(frozen=True)
-class Plant:
+class PlantedFault:
     """A fault: what is changed, the scope in which it is sought, and how it is planted."""
 
     name: str
@@ -28,14 +40,14 @@
     apply: Callable[[], None]
 
 
-PLANTS: dict[str, Plant] = {}
+PLANTED_FAULTS: dict[str, PlantedFault] = {}
 Body = Callable[..., Any]
 
 
 def _fault(scope: str, about: str) -> Callable[[Callable[[], None]], Callable[[], None]]:
     def enter(apply: Callable[[], None]) -> Callable[[], None]:
         name = apply.__name__.strip("_").replace("_", "-")
-        PLANTS[name] = Plant(name, about, scope, apply)
+        PLANTED_FAULTS[name] = PlantedFault(name, about, scope, apply)
         return apply
 
     return enter
@@ -48,7 +60,7 @@
 
 def plant(name: str) -> None:
     """Plant a fault in this process; KeyError if there is none of that name."""
-    PLANTS[name].apply()
+    PLANTED_FAULTS[name].apply()
 
 
 @_fault("mini", "a time-out ends the attempt, and its give-up is not written")
@@ -342,7 +354,7 @@
     def make(old: Body) -> Body:
         def go_on(self: Any) -> Any:
             old(self)
-            self.core.effects[:] = [e for e in self.core.effects if type(e).__name__ != "Bequeath"]
+            self.core.effects[:] = [e for e in self.core.effects if type(e).__name__ != "HandOverCalls"]
 
         return go_on
 
@@ -401,7 +413,7 @@
     def make(old: Body) -> Body:
         return lambda s, event: None if isinstance(event, i.CallerLeft) else old(s, event)
 
-    _change(module.Module, "decide", make)
+    _change(decision_module.DecisionModule, "decide", make)
 
 
 @_fault("calls", "final answers go to the connection that spoke last")
--- a/latchturn/checking/remains.py
+++ b/latchturn/checking/remains.py
@@ -14,7 +14,7 @@
 
 def remains(session: Session, exited: bool) -> list[str]:
     """Each thing that should not be there, in words; of a program that has ended only what it still owed."""
-    module = session.module.controller
+    module = session.decision_module.controller
     found = [f"call {k}" for k in session.calls.by_id]
     if exited:
         return []
@@ -33,7 +33,7 @@
             found.append(f"unconfirmed releases on stream {stream.ident}")
     found += [f"owed calls on caller {c.ident}" for c in session.callers.by_stream.values() if c.owed]
     found += [f"attempts on link {k.ident}" for k in session.links.by_stream.values() if k.attempts]
-    found += [f"standing calls at {e.ident}" for e in session.exchanges.by_id.values() if e.standing]
+    found += [f"standing calls at {e.ident}" for e in session.exchanges.by_id.values() if e.standing_calls]
     kinds = [t.kind for _, _, t in session.timers.heap if t.kind in OF_CALLS and t.what is not None]
     found += [f"a timer {kind.name}" for kind in kinds]
     return found
--- a/latchturn/net.py
+++ b/latchturn/net.py
@@ -150,7 +150,7 @@
                     self._nursery.start_soon(self._run_logged, self._run_process_connection, self._predecessor)
                 known = config.known
                 self.submit(session.Started(known, config.cursor, config.channel, inherited is not None))
-                self.submit(session.Listening())
+                self.submit(session.ListenerReady())
                 self._nursery.start_soon(self._run_restarting, self._run_timers)
 
     @staticmethod
@@ -217,21 +217,21 @@
                 idle_task = self._stream_tasks.get(stream)
                 if idle_task is not None and idle_task.sock is not None and not unread_bytes(idle_task.sock):
                     idle_task.scope.cancel()
-            case session.Follow():
+            case session.ConnectChannel():
                 self._channel.cancel()
                 self._channel = trio.CancelScope()
                 self._nursery.start_soon(self._run_logged, self._run_channel, effect, self._channel)
-            case session.TakeCallers(on):
+            case session.AcceptCallers(on):
                 self._serving_scope.cancel()
                 if on:
                     if self._predecessor is not None:
                         handover.send(self._predecessor, handover.SERVING)
                     self._serving_scope = trio.CancelScope()
                     self._nursery.start_soon(self._run_logged, self._run_listeners, self._serving_scope)
-            case session.Bequeath(calls):
+            case session.HandOverCalls(calls):
                 for other in self._process_connections:
                     handover.send_all(other, handover.STANDING_CALL, calls)
-            case session.PassOn(ident, cause):
+            case session.ForwardRelease(ident, cause):
                 for other in self._process_connections:
                     handover.send(other, handover.FORWARDED_RELEASE, ident, cause)
             case session.Reply(connection, data):
@@ -280,19 +280,19 @@
                 async for words in handover.receive(sock):
                     match words:
                         case handover.USAGE, [held, calls]:
-                            self.submit(session.OtherHolds(held, calls))
+                            self.submit(session.OtherProcessUsage(held, calls))
                         case handover.STANDING_CALL, [call, exchange]:
-                            self.submit(session.Bequeathed(call, exchange))
+                            self.submit(session.CallInherited(call, exchange))
                         case handover.FORWARDED_RELEASE, [call, cause] if cause < 256:
-                            self.submit(session.PassedOn(call, cause))
+                            self.submit(session.ReleaseForwarded(call, cause))
                         case handover.SERVING, []:
                             serves = True
-                            self.submit(session.Succeeded(True))
+                            self.submit(session.SuccessorChanged(True))
                 self._process_connections.remove(sock)
                 nursery.cancel_scope.cancel()
-        self.submit(session.OtherHolds(0))
+        self.submit(session.OtherProcessUsage(0))
         if serves:
-            self.submit(session.Succeeded(False))
+            self.submit(session.SuccessorChanged(False))
 
     async def _send_usage(self, sock: trio.socket.SocketType) -> None:
         while True:
@@ -360,7 +360,7 @@
             # The socket is closed before the reducer hears of it, so that its descriptor is free again.
             sock.close()
             self._stream_tasks.pop(ident, None)
-            self.submit(session.Closed(ident))
+            self.submit(session.ConnectionClosed(ident))
 
     async def _read(self, ident: int, sock: trio.socket.SocketType) -> None:
         decoder = protocol.message_decoder()
@@ -368,17 +368,17 @@
             partial = False
             while data := await _receive(sock):
                 for message in decoder.feed(data):
-                    self.submit(session.Heard(ident, message, self.poll_monitor.max_unread_us()))
+                    self.submit(session.MessageReceived(ident, message, self.poll_monitor.max_unread_us()))
                 if partial or decoder.has_partial_message:
                     partial = decoder.has_partial_message
-                    self.submit(session.HalfRead(ident, partial))
+                    self.submit(session.PartialMessage(ident, partial))
         except protocol.ProtocolError as error:
-            self.submit(session.Garbled(ident, str(error)))
+            self.submit(session.MalformedInput(ident, str(error)))
             # Guards the answers that are still owed: closing with input unread would reset the connection.
             while await sock.recv(RECEIVE_BYTES):
                 pass
         else:
-            self.submit(session.Ended(ident))
+            self.submit(session.EndOfInput(ident))
 
     def _write(self, ident: int, stream_task: _StreamTask, data: bytes) -> None:
         """Write at once what the socket takes, as it nearly always takes all; a task writes the rest."""
@@ -391,7 +391,7 @@
             stream_task.scope.cancel()
             return
         if written == len(data):
-            self.submit(session.Wrote(ident))
+            self.submit(session.WriteCompleted(ident))
         else:
             self._nursery.start_soon(self._run_logged, self._write_rest, ident, stream_task, memoryview(data)[written:])
 
@@ -403,11 +403,11 @@
         except (OSError, trio.ClosedResourceError):
             stream_task.scope.cancel()
         else:
-            self.submit(session.Wrote(ident))
+            self.submit(session.WriteCompleted(ident))
 
     # --- the command channel ---
 
-    async def _run_channel(self, follow: session.Follow, scope: trio.CancelScope) -> None:
+    async def _run_channel(self, follow: session.ConnectChannel, scope: trio.CancelScope) -> None:
         """One connection to the command channel, until it ends or the reducer asks for another."""
         reason = "closed"
         with scope:
@@ -419,7 +419,7 @@
                     decoder = protocol.frame_decoder()
                     while data := await sock.recv(RECEIVE_BYTES):
                         for update in decoder.feed(data):
-                            self.submit(session.ListTold(update))
+                            self.submit(session.ListUpdateReceived(update))
             except (OSError, trio.TooSlowError, protocol.ProtocolError) as error:
                 reason = str(error) or type(error).__name__
         if not scope.cancelled_caught:
@@ -450,7 +450,7 @@
             if missing := self.config.keys - config.keys:
                 raise protocol.ConfigError(f"{', '.join(sorted(missing))} is missing")
         except Exception as error:  # noqa: BLE001 - whatever is in the file
-            self.submit(session.ConfigTurnedDown(str(error)))
+            self.submit(session.ConfigRejected(str(error)))
             return
         for name in ("name", "listen", "seed"):
             if getattr(config, name) != getattr(self.config, name):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -30,20 +30,20 @@
         i.CallClass("wide", 4.0, 0.25, 2_000_000, 9 * SECOND, 3, 10 * SECOND),
         i.CallClass("urgent", 8.0, 0.25, 800_000, 6 * SECOND, 1, 6 * SECOND),
     ),
-    shape=i.Shape.MESH,
+    topology=i.Topology.MESH,
     own_number=OWN,
-    proxies=4,
+    controllers=4,
     max_attempts=4,
     release_us=500_000,
     drain_grace_us=SECOND,
-    cold_from=0.3,
-    warm_us=12 * SECOND,
-    fall_multiple=2.0,
-    fall_us=SECOND,
+    cold_start_share=0.3,
+    warm_up_us=12 * SECOND,
+    collapse_multiple=2.0,
+    collapse_us=SECOND,
     connect_timeout_us=500_000,
     list_on_request=False,
     ask_within_us=0,
-    max_stay_away_us=2 * SECOND,
+    max_retry_after_us=2 * SECOND,
     resend_us=0,
 )
 
@@ -95,14 +95,14 @@
         return self.do(i.ExchangeList(kind, list(entries)))
 
     def told(self, number: int, free: int, size: int = 40, **figures: float) -> list[i.Action]:
-        report = i.Report(free=free, size=size, **figures)  # type: ignore[arg-type]
+        report = i.LoadReport(free=free, size=size, **figures)  # type: ignore[arg-type]
         return self.do(i.ExchangeReport(100 + number, True, False, 0, report))
 
-    def offer(self, to: int, cls: int = 0, called: int = 0, **more: object) -> tuple[int, list[i.Action]]:
+    def offer(self, to: int, cls: int = 0, called_number: int = 0, **more: object) -> tuple[int, list[i.Action]]:
         call, self.next_call = self.next_call, self.next_call + 1
         width = self.controller.settings.classes[cls].width
         deadline = more.pop("deadline_us", self.now + 3 * SECOND)
-        offer = i.CallOffered(call, cls, to, called, width, deadline, **more)  # type: ignore[arg-type]
+        offer = i.CallOffered(call, cls, to, called_number, width, deadline, **more)  # type: ignore[arg-type]
         return call, self.do(offer)
 
     def ended(
@@ -118,7 +118,7 @@
         return self.do(i.AttemptEnded(call, attempt, 100 + number, outcome, 0, concluded, cause, **more))
 
     def stands(self, call: int, number: int) -> list[i.Action]:
-        return self.do(i.CallStands(call, self.attempts[call], 100 + number, 0))
+        return self.do(i.CallAnswered(call, self.attempts[call], 100 + number, 0))
 
 
 def sends(actions: list[i.Action]) -> list[int]:
@@ -128,7 +128,7 @@
 
 def finals(actions: list[i.Action]) -> list[int]:
     """Calls that got their final answer."""
-    return [a.call for a in actions if isinstance(a, i.Refuse | i.GiveUp)]
+    return [a.call for a in actions if isinstance(a, i.Refuse | i.Fail)]
 
 
 # --- the real program's settings, a reducer on a made-up clock, and a program among real sockets ---
@@ -183,7 +183,7 @@
         self.hold: set[int] = set()
         self.written: list[tuple[int, p.Message]] = []
         self.connects: list[s.Connect] = []
-        self.follows: list[s.Follow] = []
+        self.follows: list[s.ConnectChannel] = []
         self.closed: list[int] = []
         self.replies: list[str] = []
         self.bequeathed: tuple[tuple[int, int], ...] = ()
@@ -191,7 +191,7 @@
         self.ended = False
         update = p.ListUpdate(1, i.ListKind.FULL, tuple(listed(k) for k in range(far + 1)))
         self.do(s.Started((update,), 1, ("127.0.0.1", 9)))
-        self.do(s.Listening())
+        self.do(s.ListenerReady())
         self.link = {k: self.connects[k - 1].stream for k in range(1, far + 1)}
         self.second: dict[int, int] = {}  # the other link to each exchange
         for k, stream in self.link.items():
@@ -209,19 +209,19 @@
             if isinstance(effect, s.Write):
                 self.written += [(effect.stream, message) for message in effect.messages]
                 if effect.stream not in self.hold:
-                    self.do(s.Wrote(effect.stream))
+                    self.do(s.WriteCompleted(effect.stream))
             elif isinstance(effect, s.Connect):
                 self.connects.append(effect)
-            elif isinstance(effect, s.Follow):
+            elif isinstance(effect, s.ConnectChannel):
                 self.follows.append(effect)
             elif isinstance(effect, s.Close):
                 self.closed.append(effect.stream)
             elif isinstance(effect, s.CloseIdle):
-                self.do(s.Closed(effect.stream))
+                self.do(s.ConnectionClosed(effect.stream))
                 self.closed.append(effect.stream)
-            elif isinstance(effect, s.Bequeath):
+            elif isinstance(effect, s.HandOverCalls):
                 self.bequeathed = effect.calls
-            elif isinstance(effect, s.TakeCallers):
+            elif isinstance(effect, s.AcceptCallers):
                 self.taking.append(effect.on)
             elif isinstance(effect, s.Reply):
                 self.replies.append(effect.data.decode())
@@ -230,11 +230,11 @@
         return self.written[begin:]
 
     def hear(self, stream: int, message: p.Message) -> list[tuple[int, p.Message]]:
-        return self.do(s.Heard(stream, message))
+        return self.do(s.MessageReceived(stream, message))
 
     def ask(self, command: o.Command | None) -> str:
         """What the admin listener answers to a call."""
-        self.do(s.Operation(1, command))
+        self.do(s.AdminRequest(1, command))
         return self.replies[-1]
 
     def figure(self, name: str) -> int:
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -35,7 +35,7 @@
                 written += desk.hear(1, set_up(call))
             for asked in desk.connects[done:]:
                 stream = asked.stream
-                if self.desk.session.links.by_stream[stream].exchange == 102:
+                if self.desk.session.links.by_stream[stream].exchange_id == 102:
                     desk.do(s.Connected(stream))
                     desk.hear(stream, group_state(20))
                 elif connects is not None:
@@ -63,7 +63,7 @@
     def test_nor_do_lost_links(self) -> None:
         for stream in (self.desk.link[1], self.desk.second[1]):
             self.desk.pass_time(2 * SECOND)
-            self.desk.do(s.Ended(stream))
+            self.desk.do(s.EndOfInput(stream))
         self.assertTrue(CHANCE_US < self.told_after() < TOLD_US)
 
     def test_a_silent_exchange_that_refuses_links_has_died(self) -> None:
@@ -81,7 +81,7 @@
         self.told_after()
         desk.pass_time(5 * SECOND)
         waiting = [c.stream for c in desk.connects if c.stream in desk.session.links.by_stream]
-        waiting = [k for k in waiting if desk.session.links.by_stream[k].exchange == 101]
+        waiting = [k for k in waiting if desk.session.links.by_stream[k].exchange_id == 101]
         written = [m for k in waiting if not desk.session.links.by_stream[k].up for m in desk.do(s.Connected(k))]
         self.assertIn(p.Release(5, p.ReleaseCause.NORMAL), [message for _, message in written])
 
@@ -115,7 +115,7 @@
 
     def test_a_cut_that_heals_keeps_its_calls_if_a_link_from_before_speaks(self) -> None:
         desk = self.desk
-        desk.pass_time(limits.PROBE_AFTER_US + limits.SWEEP_US)
+        desk.pass_time(limits.PROBE_AFTER_US + limits.SWEEP_INTERVAL_US)
         desk.do(s.ConnectFailed(desk.connects[-1].stream, False))
         desk.pass_time(SECOND)
         witness = desk.link[1]
@@ -139,8 +139,8 @@
 
     def test_one_that_drains_may_end_its_links_and_be_heard_on_others(self) -> None:
         desk = self.desk
-        desk.do(s.ListTold(p.ListUpdate(2, i.ListKind.CHANGES, (listed(1, state=i.ListState.DRAINING),))))
-        desk.do(s.Ended(desk.link[1]))
+        desk.do(s.ListUpdateReceived(p.ListUpdate(2, i.ListKind.CHANGES, (listed(1, state=i.ListState.DRAINING),))))
+        desk.do(s.EndOfInput(desk.link[1]))
         desk.do(s.ConnectFailed(desk.connects[-1].stream, True))
         for k in range(40):
             desk.pass_time(SECOND // 4)
@@ -149,8 +149,8 @@
 
     def test_ends_that_may_be_told_on_a_link_that_we_closed_are_asked_for_on_a_new_one(self) -> None:
         desk = self.desk
-        desk.do(s.HalfRead(desk.link[1], True))
-        desk.pass_time(limits.LINK_HALF_READ_US)
+        desk.do(s.PartialMessage(desk.link[1], True))
+        desk.pass_time(limits.LINK_PARTIAL_TIMEOUT_US)
         self.assertEqual(desk.closed, [desk.link[1]])
         desk.do(s.Connected(desk.connects[-1].stream))
         desk.hear(desk.connects[-1].stream, group_state(3))
@@ -174,7 +174,7 @@
         desk = self.desk
         for k in range(3):
             desk.stand(10 + k)
-        desk.do(s.HalfRead(desk.link[1], True))
+        desk.do(s.PartialMessage(desk.link[1], True))
         connects, done = len(desk.connects), len(desk.connects)
         for _ in range(60):
             desk.pass_time_in_touch(SECOND // 4, SECOND // 4)
@@ -197,13 +197,13 @@
 
     def test_what_comes_first_on_a_new_link_is_missed_by_no_other(self) -> None:
         desk = self.desk
-        desk.do(s.Closed(desk.second[1]))
+        desk.do(s.ConnectionClosed(desk.second[1]))
         new = desk.connects[-1].stream
         desk.do(s.Connected(new))
         desk.hear(new, group_state(6))
         desk.pass_time(SECOND)
         desk.hear(new, p.Progress(5))
-        desk.pass_time(limits.SWEEP_US)
+        desk.pass_time(limits.SWEEP_INTERVAL_US)
         self.assertEqual(desk.closed, [])
 
     def test_a_hung_exchange_keeps_its_links_though_set_ups_time_out_on_them(self) -> None:
@@ -226,7 +226,7 @@
 
     def test_all_links_reset_at_once_end_its_calls_though_connects_succeed(self) -> None:
         desk = self.desk
-        written = [message for stream in self.old for message in desk.do(s.Closed(stream))]
+        written = [message for stream in self.old for message in desk.do(s.ConnectionClosed(stream))]
         self.assertIn((1, END), written)
 
     def reset_after_silence(self) -> None:
@@ -234,12 +234,12 @@
         self.began = self.desk.now
         self.desk.pass_time(2 * SECOND)
         for stream in self.old:
-            self.desk.do(s.Closed(stream))
+            self.desk.do(s.ConnectionClosed(stream))
         self.come_up()
 
     def come_up(self) -> None:
         for stream, link in list(self.desk.session.links.by_stream.items()):
-            if not link.up_us:
+            if not link.up_since_us:
                 self.desk.do(s.Connected(stream))
                 self.desk.hear(stream, group_state(9))
 
@@ -264,24 +264,24 @@
         desk = self.desk
         desk.stand(7)
         self.reset_after_silence()
-        new = next(k for k, link in desk.session.links.by_stream.items() if link.exchange == 101)
+        new = next(k for k, link in desk.session.links.by_stream.items() if link.exchange_id == 101)
         desk.hear(new, p.Release(7, p.ReleaseCause.NORMAL))
         self.pass_time_with_new_links(self.began + 3 * TOLD_US)
         self.assertIn(5, desk.session.calls.by_id)
 
     def test_one_link_reset_ends_nothing(self) -> None:
         desk = self.desk
-        desk.do(s.Closed(self.old[0]))
+        desk.do(s.ConnectionClosed(self.old[0]))
         desk.do(s.Connected(desk.connects[-1].stream))
-        desk.do(s.Closed(self.old[1]))
+        desk.do(s.ConnectionClosed(self.old[1]))
         self.assertIn(5, desk.session.calls.by_id)
 
     def silent_then_new(self) -> list[tuple[int, p.Message]]:
         """No connect comes up for a time, then a new link speaks."""
         desk = self.desk
-        desk.pass_time(limits.PROBE_AFTER_US + limits.SWEEP_US)
+        desk.pass_time(limits.PROBE_AFTER_US + limits.SWEEP_INTERVAL_US)
         desk.do(s.ConnectFailed(desk.connects[-1].stream, False))
-        desk.pass_time(limits.PROBE_EVERY_US + limits.SWEEP_US)
+        desk.pass_time(limits.PROBE_INTERVAL_US + limits.SWEEP_INTERVAL_US)
         self.new = desk.connects[-1].stream
         return desk.do(s.Connected(self.new)) + desk.hear(self.new, group_state(40))
 
@@ -289,7 +289,7 @@
         written = self.silent_then_new()
         self.assertNotIn((1, END), written)
         for witness in self.old:
-            self.desk.do(s.Closed(witness))
+            self.desk.do(s.ConnectionClosed(witness))
         self.assertIn((1, END), self.desk.hear(self.new, group_state(39)))
 
     def test_or_when_the_time_is_up_while_the_old_link_stays_silent(self) -> None:
@@ -315,7 +315,7 @@
             self.assertNotIn((1, END), written)
             if heard:
                 desk.hear(desk.link[1], group_state(7))
-            written = desk.pass_time(2 * limits.SWEEP_US)
+            written = desk.pass_time(2 * limits.SWEEP_INTERVAL_US)
             self.assertEqual((1, END) in written, not heard)
 
     def test_sweeps_that_are_always_late_conclude_all_the_same(self) -> None:
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -14,7 +14,7 @@
 from .helpers import SECOND, Bench, changed, entry
 
 ENDS = (
-    (i.Outcome.TURNED_AWAY, i.Cause.TURNED_BACK),
+    (i.Outcome.TURNED_AWAY, i.Cause.REFUSED_BY_TANDEM),
     (i.Outcome.TURNED_AWAY, i.Cause.PROCESSOR_FULL),
     (i.Outcome.NO_LINE, i.Cause.NUMBER_BUSY),
     (i.Outcome.NO_LINE, i.Cause.NONE),
@@ -27,14 +27,14 @@
 class Watched(Bench):
     """Checks every action against the rules as it comes."""
 
-    def __init__(self, proxies: int) -> None:
+    def __init__(self, controllers: int) -> None:
         self.out: dict[int, int] = {}  # call -> exchange of its attempt
         self.owed: dict[int, int] = {}  # call -> deadline
         self.standing: dict[int, int] = {}
         self.not_before: dict[int, int] = {}
         self.gone: set[int] = set()
         self.left: set[int] = set()
-        super().__init__(changed(proxies=proxies), far=6)
+        super().__init__(changed(controllers=controllers), far=6)
 
     def do(self, event: i.Event) -> list[i.Action]:
         actions = super().do(event)
@@ -45,7 +45,7 @@
                 assert action.exchange - 100 not in self.gone
                 assert 0 < action.timeout_us <= self.owed[action.call] - self.now
                 self.out[action.call] = action.exchange - 100
-            elif isinstance(action, i.Refuse | i.GiveUp):
+            elif isinstance(action, i.Refuse | i.Fail):
                 assert action.call not in self.out
                 assert self.now <= self.owed.pop(action.call)
         return actions
@@ -69,9 +69,9 @@
 
 @settings(max_examples=25, deadline=None, derandomize=True)
 @given(st.integers(0, 10**6), st.sampled_from((1, 8, 60, 500)))
-def test_random_events_keep_the_rules_and_leave_nothing_over(seed: int, proxies: int) -> None:
+def test_random_events_keep_the_rules_and_leave_nothing_over(seed: int, controllers: int) -> None:
     chance = random.Random(seed)
-    bench = Watched(proxies)
+    bench = Watched(controllers)
     for _ in range(400):
         roll = chance.random()
         if roll < 0.45:
@@ -81,8 +81,8 @@
             bench.owed[call] = deadline
             width = bench.controller.settings.classes[cls].width
             transit, again = chance.random() < 0.2, chance.random() < 0.2
-            number, called = chance.randrange(1, 7), chance.randrange(20)
-            bench.do(i.CallOffered(call, cls, number, called, width, deadline, transit, again))
+            number, called_number = chance.randrange(1, 7), chance.randrange(20)
+            bench.do(i.CallOffered(call, cls, number, called_number, width, deadline, transit, again))
         elif roll < 0.75 and bench.out:
             bench.finish(chance.choice(sorted(bench.out)), chance)
         elif roll < 0.8 and bench.standing:
@@ -125,9 +125,9 @@
         assert far.group.spare == far.group.size - sum(far.group.low)
 
 
-@pytest.mark.parametrize("proxies", [1, 500])
-def test_many_exchanges_replaced_at_once_are_served_again(proxies: int) -> None:
-    bench = Bench(changed(proxies=proxies), far=60)
+@pytest.mark.parametrize("controllers", [1, 500])
+def test_many_exchanges_replaced_at_once_are_served_again(controllers: int) -> None:
+    bench = Bench(changed(controllers=controllers), far=60)
     fresh = [i.ListEntry(500 + n, n, i.ListState.READY, 0) for n in range(61)]
     bench.list(i.ListKind.FULL, *fresh)
     for n in range(1, 61):
@@ -138,9 +138,9 @@
 
 def test_tables_stay_bounded() -> None:
     bench = Bench(far=2)
-    for called in range(1, CALLERS_KEPT + NUMBERS_KEPT + 100):
+    for called_number in range(1, CALLERS_KEPT + NUMBERS_KEPT + 100):
         bench.told(1, 40)
-        call, actions = bench.offer(1, called=called)
+        call, actions = bench.offer(1, called_number=called_number)
         if any(isinstance(a, i.SendSetup) for a in actions):
             bench.ended(call, 1, i.Outcome.NO_LINE, i.Cause.NUMBER_BUSY)
     assert len(bench.controller.failed) <= CALLERS_KEPT
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -18,18 +18,18 @@
 
 def test_transit_goes_only_to_its_destination_or_back_at_once() -> None:
     bench = Bench()
-    call, actions = bench.offer(1, transit=True, advised=2)
+    call, actions = bench.offer(1, transit=True, via=2)
     assert sends(actions) == [1]
     bench.told(1, 0)
-    call, actions = bench.offer(1, transit=True, advised=2)
+    call, actions = bench.offer(1, transit=True, via=2)
     assert actions == [i.Refuse(call, 0)]
-    call, actions = bench.offer(OWN, transit=True, advised=2)
+    call, actions = bench.offer(OWN, transit=True, via=2)
     assert finals(actions) == [call]
 
 
 def test_turned_back_transit_at_the_tandem_is_final() -> None:
     bench = Bench()
-    call, _ = bench.offer(1, transit=True, advised=2)
+    call, _ = bench.offer(1, transit=True, via=2)
     actions = bench.ended(call, 1, i.Outcome.TURNED_AWAY, i.Cause.PROCESSOR_FULL)
     assert finals(actions) == [call] and not sends(actions)
 
@@ -61,7 +61,7 @@
     bench = Bench()
     call, _ = bench.offer(1)
     bench.now += 3 * SECOND
-    assert bench.ended(call, 1, i.Outcome.TIMED_OUT) == [i.GiveUp(call)]
+    assert bench.ended(call, 1, i.Outcome.TIMED_OUT) == [i.Fail(call)]
     assert bench.ended(call, 1, i.Outcome.TIMED_OUT) == []
 
 
@@ -127,14 +127,14 @@
     times = cold_sends(bench, 10)
     s = SETTINGS
     takes = 20.0 + 2 * 10.0  # what warm exchanges say they can take, and the calls carried out and in
-    budget = s.fall_multiple * s.cold_from * takes * s.fall_us / SECOND
+    budget = s.collapse_multiple * s.cold_start_share * takes * s.collapse_us / SECOND
     assert times
     for t in times:
-        assert s.proxies * sum(1 for u in times if t <= u < t + s.fall_us) <= budget
+        assert s.controllers * sum(1 for u in times if t <= u < t + s.collapse_us) <= budget
 
 
 def test_rule_4_budget_without_any_report_comes_from_the_own_calls() -> None:
-    bench = Bench(changed(proxies=2))
+    bench = Bench(changed(controllers=2))
     for _ in range(40):
         call, _ = bench.offer(2)
         bench.stands(call, 2)
@@ -149,7 +149,7 @@
     bench.list(i.ListKind.CHANGES, entry(1, started=bench.now))
     sent = [sends(bench.offer(1)[1]) for _ in range(4)]
     assert sent.count([1]) < 4
-    bench.pass_time(SETTINGS.warm_us + SECOND)
+    bench.pass_time(SETTINGS.warm_up_us + SECOND)
     assert sends(bench.offer(1)[1]) == [1]
 
 
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -31,7 +31,7 @@
         answer = p.Answer(5, b"\0as it is")
         self.assertEqual(desk.hear(self.link[1], answer), [(1, answer)])
         desk.do(s.Accepted(2))
-        desk.do(s.Closed(1))
+        desk.do(s.ConnectionClosed(1))
         desk.hear(2, set_up(6))
         written = desk.hear(self.link[1], p.Release(5, GIVE_UP))
         self.assertIn((2, p.Release(5, GIVE_UP)), written)
@@ -42,7 +42,7 @@
         for wait_us, heard in ((7 * SECOND, True), (9 * SECOND, False)):
             desk = Desk()
             desk.stand(5)
-            desk.do(s.Closed(1))
+            desk.do(s.ConnectionClosed(1))
             desk.hear(desk.link[1], p.Release(5, GIVE_UP))
             desk.pass_time(wait_us)
             desk.do(s.Accepted(2))
@@ -57,7 +57,7 @@
             desk.hear(desk.link[1], p.Release(5, GIVE_UP))
             if heard:
                 desk.hear(1, p.ReleaseConfirmed(5))
-            written = desk.do(s.Closed(1)) + desk.pass_time(SECOND)
+            written = desk.do(s.ConnectionClosed(1)) + desk.pass_time(SECOND)
             self.assertEqual(written, [] if heard else [(2, p.Release(5, GIVE_UP))])
 
     def test_a_release_that_is_not_confirmed_goes_another_way_too(self) -> None:
@@ -72,7 +72,7 @@
             self.assertIn((1, p.Release(5, GIVE_UP)), written)
             if confirmed:
                 desk.hear(1, p.ReleaseConfirmed(5))
-            written = desk.pass_time(limits.HEARD_US + limits.SWEEP_US)
+            written = desk.pass_time(limits.CONFIRMATION_TIMEOUT_US + limits.SWEEP_INTERVAL_US)
             self.assertEqual(written, [] if confirmed else [(2, p.Release(5, GIVE_UP))])
             desk.hear(2, p.ReleaseConfirmed(5))
             self.assertEqual(desk.pass_time(SECOND), [])
@@ -88,7 +88,7 @@
             desk.do(s.Accepted(stranger))
         desk.hear(3, p.HealthCheck(1))
         desk.hear(4, set_up(7, to=2))
-        desk.do(s.Closed(1))
+        desk.do(s.ConnectionClosed(1))
         written = desk.hear(self.link[1], p.Release(5, GIVE_UP))
         self.assertIn((2, p.Release(5, GIVE_UP)), written)
 
@@ -98,19 +98,19 @@
         for stream in (2, 3):
             desk.do(s.Accepted(stream))
         desk.hear(self.link[1], p.Release(5, GIVE_UP))
-        desk.do(s.Closed(1))
-        desk.pass_time(limits.HOLD_RELEASE_US + limits.SWEEP_US)
+        desk.do(s.ConnectionClosed(1))
+        desk.pass_time(limits.RELEASE_HOLD_US + limits.SWEEP_INTERVAL_US)
         self.assertIn((2, p.Release(5, GIVE_UP)), desk.written)
-        self.assertEqual(desk.do(s.Closed(2)), [(3, p.Release(5, GIVE_UP))])
+        self.assertEqual(desk.do(s.ConnectionClosed(2)), [(3, p.Release(5, GIVE_UP))])
 
     def test_a_callers_release_reaches_the_exchange_even_over_a_new_link(self) -> None:
         self.desk.stand(5)
-        self.desk.do(s.Closed(self.link[1]))
+        self.desk.do(s.ConnectionClosed(self.link[1]))
         self.desk.hear(1, p.Release(5, GIVE_UP))
         other = self.desk.second[1]
         self.assertIn((other, p.Release(5, GIVE_UP)), self.desk.written)
         # Nothing tells that it has arrived, so it goes over the next link too if this one is closed.
-        self.desk.do(s.Closed(other))
+        self.desk.do(s.ConnectionClosed(other))
         again = self.desk.connects[-1].stream
         self.assertEqual(self.desk.do(s.Connected(again)), [(again, p.Release(5, GIVE_UP))])
 
@@ -172,11 +172,11 @@
 
     def test_a_caller_that_vanishes_has_its_set_ups_given_up(self) -> None:
         self.desk.hear(1, set_up(5))
-        self.assertEqual(self.desk.do(s.Closed(1)), [(self.link[1], p.Release(5, GIVE_UP))])
+        self.assertEqual(self.desk.do(s.ConnectionClosed(1)), [(self.link[1], p.Release(5, GIVE_UP))])
 
     def test_a_caller_that_sends_no_more_still_gets_its_answer(self) -> None:
         self.desk.hear(1, set_up(5))
-        self.desk.do(s.Ended(1))
+        self.desk.do(s.EndOfInput(1))
         self.assertEqual(self.desk.closed, [])
         answer = p.Answer(5, b"yes")
         self.assertEqual(self.desk.hear(self.link[1], answer), [(1, answer)])
@@ -184,7 +184,7 @@
 
     def test_a_fault_fails_its_call_alone(self) -> None:
         self.desk.hear(1, set_up(4))
-        controller = self.desk.session.module.controller
+        controller = self.desk.session.decision_module.controller
         handle, controller.handle = controller.handle, lambda *_: 1 / 0  # type: ignore[assignment]
         written = self.desk.hear(1, set_up(5))
         controller.handle = handle  # type: ignore[method-assign]
@@ -193,12 +193,12 @@
         self.assertGreater(self.desk.session.counters["errors"], 0)
 
     def test_time_unread_comes_off_the_wait(self) -> None:
-        self.desk.session.module.controller.handle = lambda *_: []  # type: ignore[method-assign]
-        self.desk.do(s.Heard(1, set_up(5, wait_ms=1000), 300_000))
+        self.desk.session.decision_module.controller.handle = lambda *_: []  # type: ignore[method-assign]
+        self.desk.do(s.MessageReceived(1, set_up(5, wait_ms=1000), 300_000))
         self.assertEqual(sent(self.desk.pass_time(700_000), p.Release), [1])
 
     def test_a_call_that_the_module_forgets_fails_at_its_deadline(self) -> None:
-        self.desk.session.module.controller.handle = lambda *_: []  # type: ignore[method-assign]
+        self.desk.session.decision_module.controller.handle = lambda *_: []  # type: ignore[method-assign]
         self.desk.hear(1, set_up(5, wait_ms=1000))
         self.assertEqual(sent(self.desk.pass_time(SECOND), p.Release), [1])
 
@@ -216,7 +216,7 @@
         self.assertIn(5, desk.session.calls.by_id)  # its give-up is asked for, but not through
         self.assertEqual(desk.written[-1], (self.link[1], p.Release(5, GIVE_UP)))
         # A link that takes no give-up within 50 ms is closed, which gives up all set-ups on it.
-        written = desk.pass_time(limits.GIVE_UP_STUCK_US)
+        written = desk.pass_time(limits.GIVE_UP_TIMEOUT_US)
         self.assertIn(self.link[1], desk.closed)
         # The exchange is told on its other link too: it may have answered just before the close.
         self.assertEqual(sent(written, p.Release), [1, desk.second[1]])
@@ -244,20 +244,20 @@
                 desk = Desk()
                 desk.hear(1, set_up(5))
                 link = desk.link[1]
-                desk.hear(link, message) if message else desk.do(s.Closed(link))
+                desk.hear(link, message) if message else desk.do(s.ConnectionClosed(link))
                 self.assertEqual(desk.session.counters[f"attempts_{outcome}"], 1)
 
     def test_a_set_up_that_waits_for_its_link_is_checked_as_it_leaves(self) -> None:
         def changed(desk: Desk) -> None:
             update = p.ListUpdate(2, i.ListKind.CHANGES, (listed(1, state=i.ListState.DRAINING),))
-            desk.do(s.ListTold(update))
+            desk.do(s.ListUpdateReceived(update))
 
         def late(desk: Desk) -> None:
             desk.pass_time(1_500_000)
 
         for happens, counter in ((changed, "attempts_not_sent"), (late, "attempts_unreachable")):
             desk = Desk(far=1)
-            desk.do(s.Closed(desk.link[1]))
+            desk.do(s.ConnectionClosed(desk.link[1]))
             desk.hear(1, set_up(5))
             happens(desk)
             written = desk.do(s.Connected(desk.connects[-1].stream))
@@ -270,7 +270,7 @@
         desk.do(s.Accepted(2))
         desk.hear(2, set_up(6, to=2))
         self.assertEqual(sent(desk.hear(self.link[2], p.Answer(6, b"")), p.Answer), [2])
-        desk.pass_time(limits.STUCK_US + SECOND)
+        desk.pass_time(limits.WRITE_TIMEOUT_US + SECOND)
         self.assertEqual(desk.closed, [1])
 
 
@@ -314,11 +314,11 @@
     def released(self, written: list[tuple[int, p.Message]]) -> list[int]:
         far = self.desk.session.links.by_stream
         release = p.Release(5, GIVE_UP)
-        return [far[stream].exchange for stream, message in written if stream in far and message == release]
+        return [far[stream].exchange_id for stream, message in written if stream in far and message == release]
 
     def test_its_exchange_is_told_once_the_call_is_over(self) -> None:
         desk = self.desk
-        written = desk.do(s.Closed(desk.link[1]))
+        written = desk.do(s.ConnectionClosed(desk.link[1]))
         self.assertEqual(self.released(written), [])  # a later attempt there has the same id
         self.assertEqual(self.released(desk.hear(1, p.Release(5, GIVE_UP))), [101])
 
@@ -326,12 +326,12 @@
         for direct_is_full, told in ((False, []), (True, [101])):
             self.setUp()
             desk = self.desk
-            desk.do(s.Closed(desk.link[1]))
+            desk.do(s.ConnectionClosed(desk.link[1]))
             if direct_is_full:
                 desk.hear(desk.second[1], group_state(0))
             desk.pass_time(SECOND // 2)
             attempt = desk.session.calls.by_id[5].attempt
-            self.assertEqual(attempt.link.exchange, 102 if direct_is_full else 101)
+            self.assertEqual(attempt.link.exchange_id, 102 if direct_is_full else 101)
             if not attempt.link.up:
                 desk.do(s.Connected(attempt.link.ident))
             self.assertEqual(self.released(desk.hear(attempt.link.ident, p.Answer(5, b"yes"))), told)
@@ -339,7 +339,7 @@
     def test_a_give_up_that_a_lost_link_may_not_have_carried_is_sent_again(self) -> None:
         desk = self.desk
         desk.hear(1, p.Release(5, GIVE_UP))
-        self.assertEqual(self.released(desk.do(s.Closed(desk.link[1]))), [101])
+        self.assertEqual(self.released(desk.do(s.ConnectionClosed(desk.link[1]))), [101])
 
 
 class Exchanges(unittest.TestCase):
@@ -352,7 +352,7 @@
         idle = desk.connects[-1].stream
         desk.do(s.Connected(idle))
         desk.stand(5)
-        desk.do(s.Closed(desk.link[1]))
+        desk.do(s.ConnectionClosed(desk.link[1]))
         written = desk.do(s.ConnectFailed(desk.connects[-1].stream, refused=True))
         self.assertIn((1, p.Release(5, p.ReleaseCause.TEMPORARY_FAILURE)), written)
         self.assertIn(idle, desk.closed)
@@ -362,14 +362,14 @@
     def test_an_exchange_that_drains_may_refuse_links_and_its_calls_go_on(self) -> None:
         desk = Desk()
         desk.stand(5)
-        desk.do(s.ListTold(p.ListUpdate(2, i.ListKind.CHANGES, (listed(1, state=i.ListState.DRAINING),))))
+        desk.do(s.ListUpdateReceived(p.ListUpdate(2, i.ListKind.CHANGES, (listed(1, state=i.ListState.DRAINING),))))
         for stream in (desk.link[1], desk.second[1]):
-            desk.do(s.Closed(stream))
+            desk.do(s.ConnectionClosed(stream))
         written = desk.do(s.ConnectFailed(desk.connects[-1].stream, True)) + desk.pass_time(SECOND)
         self.assertEqual(sent(written, p.Release), [])
         self.assertIn(5, desk.session.calls.by_id)
         desk.do(s.Connected(desk.connects[-1].stream))  # it may be another exchange's by now
-        written = desk.pass_time(limits.DRAINED_US)
+        written = desk.pass_time(limits.DRAINED_AFTER_US)
         self.assertIn((1, p.Release(5, p.ReleaseCause.TEMPORARY_FAILURE)), written)
 
     def test_a_refused_link_beside_one_that_is_up_proves_nothing(self) -> None:
@@ -387,22 +387,22 @@
 
         def restart(desk: Desk) -> s.Input:
             started = listed(1, started=desk.now + 1)
-            return s.ListTold(p.ListUpdate(2, i.ListKind.CHANGES, (started,)))
+            return s.ListUpdateReceived(p.ListUpdate(2, i.ListKind.CHANGES, (started,)))
 
-        for happens in (lambda _: s.ListTold(gone), lambda _: s.ListTold(unnamed), restart):
+        for happens in (lambda _: s.ListUpdateReceived(gone), lambda _: s.ListUpdateReceived(unnamed), restart):
             desk = Desk()
             desk.stand(5)
             self.assertEqual(sent(desk.do(happens(desk)), p.Release), [1])
         desk = Desk()
         desk.stand(5)
-        desk.do(s.Closed(desk.link[1]))  # the other stays open, and silent
+        desk.do(s.ConnectionClosed(desk.link[1]))  # the other stays open, and silent
         desk.do(s.ConnectFailed(desk.connects[-1].stream, refused=False))
-        self.assertEqual(sent(desk.pass_time(limits.SILENT_US + SECOND), p.Release), [1])
+        self.assertEqual(sent(desk.pass_time(limits.SILENCE_LIMIT_US + SECOND), p.Release), [1])
 
     def test_links_come_back_with_growing_pauses(self) -> None:
         desk = Desk(far=1)
-        desk.do(s.Closed(desk.second[1]))
-        desk.do(s.Closed(desk.link[1]))
+        desk.do(s.ConnectionClosed(desk.second[1]))
+        desk.do(s.ConnectionClosed(desk.link[1]))
         pauses = []
         for _ in range(8):
             before = desk.now
@@ -412,14 +412,14 @@
                 desk.now = desk.session.wake_us()
                 desk.do(s.Tick())
             pauses.append(desk.now - before)
-        self.assertLessEqual(max(pauses), limits.RECONNECT_MOST_US)
-        self.assertGreaterEqual(pauses[-1], limits.RECONNECT_MOST_US // 2)
+        self.assertLessEqual(max(pauses), limits.RECONNECT_MAX_US)
+        self.assertGreaterEqual(pauses[-1], limits.RECONNECT_MAX_US // 2)
         self.assertGreater(pauses[-1], pauses[1])
 
     def test_an_old_event_of_the_channel_is_passed_over(self) -> None:
         desk = Desk()
         update = p.ListUpdate(1, i.ListKind.CHANGES, (listed(1, state=i.ListState.GONE),))
-        desk.do(s.ListTold(update))
+        desk.do(s.ListUpdateReceived(update))
         self.assertEqual(desk.closed, [])
 
     def test_a_release_of_a_call_from_before_a_restart_is_passed_on(self) -> None:
@@ -441,13 +441,13 @@
             new = p.ExchangeRecord(i.ListEntry(200 + k, 1, i.ListState.READY, 0), ("127.0.0.1", 5 + k % 3))
             old = listed(1, state=i.ListState.GONE) if k == 0 else dataclasses.replace(new, entry=i.ListEntry(
                 199 + k, 1, i.ListState.GONE, 0))  # fmt: skip
-            desk.do(s.ListTold(p.ListUpdate(2 + k, i.ListKind.CHANGES, (old, new))))
+            desk.do(s.ListUpdateReceived(p.ListUpdate(2 + k, i.ListKind.CHANGES, (old, new))))
             desk.do(s.Connected(desk.connects[-1].stream))
             desk.hear(desk.connects[-2].stream, group_state(20))
             self.assertEqual(sent(desk.hear(1, set_up(5 + k)), p.SetUp), [desk.connects[-2].stream])
             self.assertEqual(sent(desk.hear(desk.connects[-2].stream, p.Answer(5 + k, b"y")), p.Answer), [1])
         self.assertEqual(len(desk.session.exchanges.by_id), 2)
-        self.assertEqual(len(desk.session.module.controller.exchanges), 2)
+        self.assertEqual(len(desk.session.decision_module.controller.exchanges), 2)
         self.assertEqual(len(desk.session.links.by_stream), 2)
         self.assertEqual(len(desk.session.calls.by_id), 1)
 
@@ -455,10 +455,10 @@
         # Else calls would reach the new one under the old id, until the word of the old one's end has come.
         desk = Desk(far=1)
         moved = p.ExchangeRecord(i.ListEntry(300, 1, i.ListState.READY, 0), listed(1).address)
-        desk.do(s.ListTold(p.ListUpdate(2, i.ListKind.CHANGES, (moved,))))
+        desk.do(s.ListUpdateReceived(p.ListUpdate(2, i.ListKind.CHANGES, (moved,))))
         self.assertIn(desk.link[1], desk.closed)
         self.assertEqual(list(desk.session.exchanges.by_id), [100, 300])
-        self.assertEqual(list(desk.session.module.controller.exchanges), [100, 300])
+        self.assertEqual(list(desk.session.decision_module.controller.exchanges), [100, 300])
 
 
 class SpoiltLinks(unittest.TestCase):
@@ -475,15 +475,15 @@
     def test_a_half_read_link_gets_no_set_ups_and_is_closed(self) -> None:
         desk = self.desk
         desk.hear(1, set_up(4))
-        desk.do(s.HalfRead(self.link, True))
+        desk.do(s.PartialMessage(self.link, True))
         self.assertEqual(sent(desk.hear(1, set_up(5)), p.SetUp), [self.other])
-        desk.pass_time(limits.LINK_HALF_READ_US)
+        desk.pass_time(limits.LINK_PARTIAL_TIMEOUT_US)
         self.assertEqual(desk.closed, [self.link])
         self.assertEqual(desk.session.counters["attempts_cut"], 1)
 
     def test_a_message_that_becomes_whole_leaves_its_link_open(self) -> None:
         for step in (True, False):
-            self.desk.do(s.HalfRead(self.link, step))
+            self.desk.do(s.PartialMessage(self.link, step))
         self.desk.pass_time(SECOND)
         self.assertEqual(self.desk.closed, [])
 
@@ -510,14 +510,14 @@
 
     def test_the_reset_of_a_new_link_is_no_end_of_an_attempt_not_sent(self) -> None:
         desk = self.desk
-        desk.do(s.Closed(self.other))
-        desk.do(s.Closed(self.link))
+        desk.do(s.ConnectionClosed(self.other))
+        desk.do(s.ConnectionClosed(self.link))
         new = desk.connects[-1].stream
         desk.hold.add(new)
         desk.do(s.Connected(new))
         desk.hear(new, p.HealthCheck(1))  # a write that does not get through
         desk.hear(1, set_up(5))
-        desk.do(s.Closed(new))
+        desk.do(s.ConnectionClosed(new))
         again = next(c.stream for c in desk.connects if c.stream in desk.session.links.by_stream
                      and desk.session.links.by_stream[c.stream].attempts)  # fmt: skip
         self.assertEqual(sent(desk.do(s.Connected(again)), p.SetUp), [again])
@@ -562,7 +562,7 @@
         for stream in (2, 3, 4):
             desk.do(s.Accepted(stream))
         desk.hear(3, set_up(5))
-        desk.do(s.HalfRead(1, True))
+        desk.do(s.PartialMessage(1, True))
         desk.hear(4, p.UnknownMessage(1, 123))
         desk.pass_time(2_500_000)
         self.assertEqual(desk.closed, [])  # what comes in pieces may be whole by now
@@ -576,7 +576,7 @@
     def test_after_input_that_cannot_be_read_open_calls_fail_and_the_connection_closes(self) -> None:
         desk = self.desk
         desk.hear(1, set_up(5))
-        written = desk.do(s.Garbled(1, "message of 3 bytes"))
+        written = desk.do(s.MalformedInput(1, "message of 3 bytes"))
         self.assertIn((1, p.Release(5, p.ReleaseCause.TEMPORARY_FAILURE)), written)
         self.assertIn((desk.link[1], p.Release(5, GIVE_UP)), written)
         self.assertEqual(desk.closed, [1])
@@ -600,16 +600,16 @@
         self.assertEqual(self.desk.closed, [])
 
     def test_calls_beyond_a_connections_budget_are_refused_at_once(self) -> None:
-        for k in range(1, limits.OPEN_MOST + 1):
+        for k in range(1, limits.MAX_OPEN_CALLS + 1):
             self.desk.hear(1, set_up(k, wait_ms=9000))
         owed = len(self.desk.session.callers.by_stream[1].owed)
-        self.assertLessEqual(owed, limits.OPEN_MOST)
-        for k in range(owed, limits.OPEN_MOST + 1):
+        self.assertLessEqual(owed, limits.MAX_OPEN_CALLS)
+        for k in range(owed, limits.MAX_OPEN_CALLS + 1):
             written = self.desk.hear(1, set_up(1000 + k, wait_ms=9000))
         self.assertEqual([(m.cause, m.retry_after_ms) for _, m in written], [(p.ReleaseCause.CONGESTION, 2000)])
 
     def test_connections_on_which_calls_stood_are_the_last_to_make_room(self) -> None:
-        desk = Desk(sockets=3 * limits.CALLERS_LEAST)
+        desk = Desk(sockets=3 * limits.MIN_CALLERS_DIVISOR)
         desk.stand(5)
         for stream in range(2, 40):
             desk.do(s.Accepted(stream))
@@ -622,21 +622,21 @@
             self.assertEqual(desk.session.callers.most(), most)
 
     def test_in_a_crowd_what_comes_in_pieces_outlasts_silence(self) -> None:
-        desk = Desk(sockets=12 * limits.CALLERS_LEAST)
+        desk = Desk(sockets=12 * limits.MIN_CALLERS_DIVISOR)
         desk.do(s.Accepted(2))
         for stream in range(10, 60):
             desk.pass_time(100_000)
             desk.do(s.Accepted(stream))
             if stream % 3 == 0 and stream < 30:
-                desk.do(s.HalfRead(2, True))
+                desk.do(s.PartialMessage(2, True))
             if stream == 31:
                 desk.hear(2, set_up(5))
-                desk.do(s.HalfRead(2, False))
+                desk.do(s.PartialMessage(2, False))
         self.assertNotIn(2, desk.closed)
         self.assertGreater(len(desk.closed), 20)
 
     def test_where_all_strangers_are_fresh_a_connection_with_nothing_open_makes_room(self) -> None:
-        desk = Desk(sockets=4 * limits.CALLERS_LEAST)
+        desk = Desk(sockets=4 * limits.MIN_CALLERS_DIVISOR)
         desk.stand(5)
         desk.do(s.Accepted(2))
         desk.hear(2, set_up(6, to=9))  # refused: nothing is left of it
@@ -657,7 +657,7 @@
 
 class Life(unittest.TestCase):
     def test_the_descriptor_budget_is_kept(self) -> None:
-        desk = Desk(sockets=2 * limits.CALLERS_LEAST)
+        desk = Desk(sockets=2 * limits.MIN_CALLERS_DIVISOR)
         desk.hear(1, set_up(5))
         desk.do(s.Accepted(2))
         desk.do(s.Accepted(3))  # the idle one makes room
@@ -677,7 +677,7 @@
             desk.hear(desk.link[2], p.Answer(6, b""))
             if answered:
                 desk.hear(desk.link[1], p.Answer(5, b""))
-            desk.pass_time(limits.TERM_QUIET_US - 300_001)
+            desk.pass_time(limits.SIGTERM_GRACE_US - 300_001)
             self.assertFalse(desk.ended)
             desk.pass_time(2)
             self.assertEqual(desk.ended, answered)
@@ -698,12 +698,12 @@
 
         desk.session.step = step  # type: ignore[method-assign]
         desk.do(s.Terminate())
-        desk.pass_time(limits.TERM_QUIET_US)
+        desk.pass_time(limits.SIGTERM_GRACE_US)
         self.assertEqual((desk.closed, desk.ended), ([1], False))
         refusal = p.Release(7, p.ReleaseCause.CONGESTION, retry_after_ms=2000)
         unread.clear()
         self.assertEqual(desk.hear(2, set_up(7)), [(2, refusal)])
-        desk.pass_time(limits.TERM_CLOSE_STEP_US)
+        desk.pass_time(limits.SIGTERM_CLOSE_INTERVAL_US)
         self.assertEqual((desk.closed, desk.ended), ([1, 2], True))
 
     def test_a_set_up_that_comes_as_all_is_answered_for_the_end_is_answered_and_is_no_fault(self) -> None:
@@ -719,13 +719,13 @@
         written = desk.hear(1, set_up(6, to=2, wait_ms=9000))
         self.assertEqual(sorted(m.call for stream, m in written if stream == 1), [5, 6, 13])
         self.assertEqual(desk.session.counters["errors"], 0)
-        self.assertNotIn(6, desk.session.module.controller.calls)
+        self.assertNotIn(6, desk.session.decision_module.controller.calls)
 
     def test_a_clock_set_back_does_not_reach_the_module(self) -> None:
         desk = Desk()
         times: list[int] = []
-        handle = desk.session.module.controller.handle
-        desk.session.module.controller.handle = lambda now, event: times.append(now) or handle(now, event)  # type: ignore
+        handle = desk.session.decision_module.controller.handle
+        desk.session.decision_module.controller.handle = lambda now, event: times.append(now) or handle(now, event)  # type: ignore
         for back in (0, 5 * SECOND):
             desk.now -= back
             desk.hear(1, set_up(5 + back))
@@ -741,7 +741,7 @@
             began, heard = desk.now, False
             while desk.now < began + 20 * SECOND and not heard:
                 desk.pass_time(SECOND // 20)
-                asked = desk.session.channel.heard_us if not desk.session.channel.answers else desk.now
+                asked = desk.session.channel.last_received_us if not desk.session.channel.answers else desk.now
                 if len(desk.follows) > 1 and desk.now - asked >= late_us:
                     heard = True
             self.assertTrue(heard, f"{late_us}")
@@ -758,7 +758,7 @@
         while len(desk.follows) == before + 1:
             desk.pass_time(SECOND // 20)
         wait = max(wait, desk.now - began - wait)
-        longest = limits.CHANNEL_CONNECT_MOST_US + limits.CHANNEL_PAUSE_US + wait
+        longest = limits.CHANNEL_CONNECT_TIMEOUT_MAX_US + limits.CHANNEL_RECONNECT_PAUSE_US + wait
         self.assertLess(longest, 6 * SECOND - SECOND // 2)
 
     def test_new_configurations_in_a_row_do_not_end_a_connection_to_the_same_address(self) -> None:
@@ -780,7 +780,7 @@
         desk.do(s.ChannelLost("refused"))
         self.assertEqual(len(desk.follows), 2)
         for _ in range(8):  # each takes its whole time to fail
-            desk.pass_time(limits.CHANNEL_PAUSE_US)
+            desk.pass_time(limits.CHANNEL_RECONNECT_PAUSE_US)
             desk.do(s.ChannelLost("timed out"))
         self.assertEqual(len(desk.follows), 10)
         self.assertLess(desk.now - begin, 2 * SECOND)
@@ -789,11 +789,11 @@
         desk = self.desk
         for _ in range(8):
             desk.pass_time(SECOND)
-            desk.do(s.ListTold(p.ListUpdate(0, None)))
+            desk.do(s.ListUpdateReceived(p.ListUpdate(0, None)))
         self.assertEqual(len(desk.follows), 1)
-        desk.do(s.ListTold(p.ListUpdate(2, i.ListKind.CHANGES, (listed(1, state=i.ListState.DRAINING),))))
-        desk.pass_time(4 * SECOND - limits.CHANNEL_CONNECT_US - SECOND)
-        self.assertEqual(desk.follows[1:], [s.Follow(("127.0.0.1", 9), 2, limits.CHANNEL_CONNECT_US)])
+        desk.do(s.ListUpdateReceived(p.ListUpdate(2, i.ListKind.CHANGES, (listed(1, state=i.ListState.DRAINING),))))
+        desk.pass_time(4 * SECOND - limits.CHANNEL_CONNECT_TIMEOUT_US - SECOND)
+        self.assertEqual(desk.follows[1:], [s.ConnectChannel(("127.0.0.1", 9), 2, limits.CHANNEL_CONNECT_TIMEOUT_US)])
 
     def test_an_event_written_twice_or_known_counts_once(self) -> None:
         # The whole list of the start, coming again, would bring back an exchange that has gone.
@@ -801,12 +801,12 @@
         whole = p.ListUpdate(1, i.ListKind.FULL, tuple(listed(k) for k in range(3)))
         gone = p.ListUpdate(2, i.ListKind.CHANGES, (listed(1, state=i.ListState.GONE),))
         draining = p.ListUpdate(3, i.ListKind.CHANGES, (listed(2, state=i.ListState.DRAINING),))
-        desk.do(s.ListTold(gone))
+        desk.do(s.ListUpdateReceived(gone))
         count = len(desk.connects)
-        desk.do(s.ListTold(whole))
+        desk.do(s.ListUpdateReceived(whole))
         desk.do(s.Reconfigured((whole, gone, draining), ("127.0.0.1", 10), 512, desk.settings))
         self.assertNotIn(101, desk.session.exchanges.by_id)
         self.assertEqual(len(desk.connects), count)
         self.assertEqual(desk.session.exchanges.by_id[102].state, i.ListState.DRAINING)
-        self.assertEqual(desk.follows[-1], s.Follow(("127.0.0.1", 10), 3, limits.CHANNEL_CONNECT_US))
+        self.assertEqual(desk.follows[-1], s.ConnectChannel(("127.0.0.1", 10), 3, limits.CHANNEL_CONNECT_TIMEOUT_US))
         self.assertEqual(desk.session.core.sockets, 512)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -63,7 +63,7 @@
         desk.hear(1, set_up(1))
         self.use(desk, NEXT, PLAIN)
         desk.hear(1, set_up(2))
-        module = desk.session.module.controller.calls
+        module = desk.session.decision_module.controller.calls
         self.assertEqual([module[1].cls.name, module[2].cls.name], ["premium_quote", PLAIN.name])
         desk.hear(desk.link[1], p.Answer(1, b"yes"))
         self.assertEqual(desk.figure("succeeded.premium_quote"), 1)
@@ -72,15 +72,15 @@
         # By the shorter of the waits before and now: which of them the deployment counts cannot be known.
         for before_us, now_us in ((9 * SECOND, SECOND // 2), (SECOND // 2, 9 * SECOND)):
             desk = Desk()
-            self.use(desk, replace(PLAIN, name="premium_quote", give_up_us=before_us, aim_us=450_000))
+            self.use(desk, replace(PLAIN, name="premium_quote", give_up_us=before_us, target_us=450_000))
             desk.pass_time_in_touch(10 * SECOND)
             desk.do(s.Accepted(2))
             written = desk.hear(2, set_up(1, wait_ms=min(2500, before_us // 1000)))
-            self.use(desk, replace(PLAIN, name="premium_quote", give_up_us=now_us, aim_us=450_000))
+            self.use(desk, replace(PLAIN, name="premium_quote", give_up_us=now_us, target_us=450_000))
             self.assertEqual(desk.figure("outstanding"), 1)
             desk.do(s.Terminate())
             kill_us = SECOND // 2 + 700_000
-            written += desk.pass_time_in_touch(kill_us - limits.TERM_KILL_SPARE_US, tell_us=SECOND // 10)
+            written += desk.pass_time_in_touch(kill_us - limits.SIGKILL_MARGIN_US, tell_us=SECOND // 10)
             self.assertEqual([m.call for stream, m in written if stream == 2], [1])
             self.assertTrue(desk.ended)
 
@@ -109,17 +109,17 @@
         self.assertEqual(finals(bench.stands(call, 1)), [])
 
     def test_a_call_that_may_run_once_fails_where_it_may_have_run(self) -> None:
-        once = changed(classes=tuple(replace(c, once=True) for c in SETTINGS.classes))
+        at_most_once = changed(classes=tuple(replace(c, at_most_once=True) for c in SETTINGS.classes))
         cases = {
-            i.Outcome.CUT: i.GiveUp, i.Outcome.TIMED_OUT: i.GiveUp, i.Outcome.NO_LINE: i.GiveUp,
+            i.Outcome.CUT: i.Fail, i.Outcome.TIMED_OUT: i.Fail, i.Outcome.NO_LINE: i.Fail,
             i.Outcome.TURNED_AWAY: i.SendSetup, i.Outcome.UNREACHABLE: i.SendSetup,
         }  # fmt: skip
         for outcome, action in cases.items():
-            bench = Bench(once)
+            bench = Bench(at_most_once)
             call, _ = bench.offer(1)
             cause = i.Cause.NUMBER_BUSY if outcome is i.Outcome.NO_LINE else i.Cause.NONE
             actions = bench.ended(call, 1, outcome, cause)
-            actions = [a for a in actions if isinstance(a, i.GiveUp | i.Refuse | i.SendSetup)]
+            actions = [a for a in actions if isinstance(a, i.Fail | i.Refuse | i.SendSetup)]
             self.assertEqual([type(a) for a in actions], [action], outcome)
 
 
@@ -185,7 +185,7 @@
             for name, text in texts.items():
                 path.write_text(text)
                 server._reconfigure()
-                self.assertIsInstance(inputs.pop(), s.ConfigTurnedDown, name)
+                self.assertIsInstance(inputs.pop(), s.ConfigRejected, name)
             more = copy.deepcopy(good)
             first = more["settings"]["grades"][0]
             more["settings"]["grades"].append({**first, "name": "v2", "effect": "pure"})
