--- a/latchturn/checking/plants.py
+++ b/latchturn/checking/plants.py
@@ -152,7 +152,7 @@
 def _answered_id_taken() -> None:
     def make(old: Body) -> Body:
         def asked(self: Any, caller: Any, message: Any, waited_us: int) -> Any:
-            self.calls.over.pop(message.call, None)
+            self.calls.ended.pop(message.call, None)
             return old(self, caller, message, waited_us)
 
         return asked
@@ -298,7 +298,7 @@
 def _hang_up_passed_over() -> None:
     def make(old: Body) -> Body:
         def lose(self: Any, caller: Any) -> Any:
-            caller.owed = set()
+            caller.unanswered = set()
             return old(self, caller)
 
         return lose
@@ -396,12 +396,12 @@
 def _owed_not_struck_off() -> None:
     def make(old: Body) -> Body:
         def forget(self: Any, call: Any, answered: bool = False) -> Any:
-            owed = self.callers.by_stream.pop(call.caller, None)
+            owed = self.callers.by_stream.pop(call.caller_stream, None)
             try:
                 return old(self, call, answered)
             finally:
                 if owed is not None:
-                    self.callers.by_stream[call.caller] = owed
+                    self.callers.by_stream[call.caller_stream] = owed
 
         return forget
 
@@ -420,8 +420,8 @@
 def _answer_to_another() -> None:
     def make(old: Body) -> Body:
         def final(self: Any, ident: int, message: Any) -> Any:
-            if (call := self.by_id.get(ident)) is not None and call.stands_at is None:
-                call.caller = max(self.callers.by_stream, default=call.caller)
+            if (call := self.by_id.get(ident)) is not None and call.standing_exchange is None:
+                call.caller_stream = max(self.callers.by_stream, default=call.caller_stream)
             return old(self, ident, message)
 
         return final
@@ -448,10 +448,10 @@
     def make(old: Body) -> Body:
         def final(self: Any, ident: int, message: Any) -> Any:
             call = self.by_id.get(ident)
-            owed = call is not None and call.stands_at is None
+            owed = call is not None and call.standing_exchange is None
             old(self, ident, message)
             if owed and isinstance(message, p.Answer):
-                self.writing.queue(self.callers.by_stream[call.caller], message)
+                self.writing.queue(self.callers.by_stream[call.caller_stream], message)
 
         return final
 
--- a/latchturn/checking/remains.py
+++ b/latchturn/checking/remains.py
@@ -25,13 +25,13 @@
         found += [f"{far.out} set-ups counted as out at exchange {far.exchange}"] * bool(far.out)
     for number, group in module.groups.items():
         found += [f"circuits of group {number} in use: {group.count}"] * any(group.count)
-    found += [f"ended call {k} remembered" for k in session.calls.over]
+    found += [f"ended call {k} remembered" for k in session.calls.ended]
     for stream in (*session.callers.by_stream.values(), *session.links.by_stream.values()):
         if stream.up and (stream.outbox or stream.in_flight):
             found.append(f"unwritten messages on stream {stream.ident}")
         if stream.unconfirmed:
             found.append(f"unconfirmed releases on stream {stream.ident}")
-    found += [f"owed calls on caller {c.ident}" for c in session.callers.by_stream.values() if c.owed]
+    found += [f"owed calls on caller {c.ident}" for c in session.callers.by_stream.values() if c.unanswered]
     found += [f"attempts on link {k.ident}" for k in session.links.by_stream.values() if k.attempts]
     found += [f"standing calls at {e.ident}" for e in session.exchanges.by_id.values() if e.standing]
     kinds = [t.kind for _, _, t in session.timers.heap if t.kind in OF_CALLS and t.what is not None]
--- a/latchturn/session/attempts.py
+++ b/latchturn/session/attempts.py
@@ -7,7 +7,7 @@
 from .component import Component
 from .limits import GIVE_UP_STUCK_US, MUTE_MOST, MUTE_US, SLOTS
 from .machines import ATTEMPT, AttemptMove
-from .state import Attempt, Call, Exchange, GiveUpDue
+from .state import Attempt, Call, Exchange, PendingGiveUp
 from .timers import TimerKind
 from .trace import TraceEvent
 
@@ -17,16 +17,16 @@
 
     def begin(self, action: i.SendSetup) -> None:
         call = self.calls.by_id.get(action.call)
-        if call is None or call.stands_at is not None or call.attempt is not None:
+        if call is None or call.standing_exchange is not None or call.attempt is not None:
             raise RuntimeError("the module sent a set-up for a call that may have none")
         exchange = self.exchanges.by_id.get(action.exchange)
-        number = call.attempts
-        call.attempts += 1
+        number = call.attempt_count
+        call.attempt_count += 1
         slot = None if exchange is None else self.free_slot(exchange, call)
         if exchange is None or slot is None or exchange.state is not i.ListState.READY:
             self.core.events.append(i.AttemptEnded(call.ident, number, action.exchange, i.Outcome.NOT_SENT, 0, False))
             return
-        call.used.add((exchange.ident, slot))
+        call.used_slots.add((exchange.ident, slot))
         link = exchange.links.get(slot) or self.links.connect(exchange, slot)
         timeout = action.timeout_us or call.deadline_us - self.core.now
         due = min(self.core.now + timeout, call.deadline_us)
@@ -42,8 +42,8 @@
         the same on each and a late answer to an earlier one could not be told from its own. Links that are
         half read come last, since what is behind a spoilt message is lost, and so do those on which the last attempt
         timed out unheard."""
-        free = [k for k in range(SLOTS) if (exchange.ident, k) not in call.used]
-        poor = {k for k, link in exchange.links.items() if link.half_us or link.mute}
+        free = [k for k in range(SLOTS) if (exchange.ident, k) not in call.used_slots]
+        poor = {k for k, link in exchange.links.items() if link.partial_since_us or link.mute}
         return next((k for k in free if k not in poor), free[0] if free else None)
 
     def timed_out(self, attempt: Attempt) -> None:
@@ -60,7 +60,7 @@
         if link.mute:
             self.liveness.suspect(self.exchanges.by_id[link.exchange])
         # The give-up leaves before the module hears of the time-out, so that no two attempts are ever out.
-        self.writing.queue(attempt.link, GiveUpDue(attempt))
+        self.writing.queue(attempt.link, PendingGiveUp(attempt))
         attempt.timer = self.timers.set(GIVE_UP_STUCK_US, TimerKind.GIVE_UP, attempt)
 
     def is_mute(self, attempt: Attempt, others_heard_us: list[int]) -> bool:
--- a/latchturn/session/callers.py
+++ b/latchturn/session/callers.py
@@ -44,13 +44,13 @@
         """A set-up from a caller."""
         self.core.counters["set_ups"] += 1
         known = self.calls.by_id.get(message.call)
-        if known is not None or (message.call in self.calls.over and self.calls.over[message.call].answered):
+        if known is not None or (message.call in self.calls.ended and self.calls.ended[message.call].answered):
             # Guards against a second answer: the id is that of another call, or has had its answer. On the
             # connection of a call without answer it can no longer be told which set-up is meant: it fails.
             # On another connection no message can name the id and not be taken for the call's answer or end.
             self.core.counters["set_ups_repeated"] += 1
-            if known is None or known.caller == caller.ident:
-                if known is not None and known.stands_at is None:
+            if known is None or known.caller_stream == caller.ident:
+                if known is not None and known.standing_exchange is None:
                     self.calls.fail(known, "its id is used again on its connection")
                 self.fault(caller, "id used again")
             else:
@@ -63,7 +63,7 @@
             self.calls.remember_answered(message.call)
             self.writing.queue(caller, Release(message.call, ReleaseCause.INVALID_CONTENTS))
             self.fault(caller, f"set-ups that cannot be used, the last for its {reason}")
-        elif len(caller.owed) >= OPEN_MOST or len(self.calls.by_id) >= CALLS_MOST or self.phases.answer_all:
+        elif len(caller.unanswered) >= OPEN_MOST or len(self.calls.by_id) >= CALLS_MOST or self.phases.answer_all:
             # Guards the others' calls and the memory against a flood.
             self.core.counters["set_ups_over_budget"] += 1
             self.core.note(
@@ -94,7 +94,7 @@
         self.core.counters["callers_shut"] += 1
         self.core.log(f"caller {caller.ident} closed: {why}")
         caller.move(StreamMove.FINISH)
-        for ident in sorted(caller.owed):
+        for ident in sorted(caller.unanswered):
             self.calls.fail(self.calls.by_id[ident], why)
         self.close_if_finished(caller)
 
@@ -108,7 +108,7 @@
                 self.core.effects.append(Close(stream))
                 return
             self.writing.drop(least, CloseReason.NO_DESCRIPTORS)
-        caller = Caller(stream, StreamState.UP, True, accepted_us=self.core.now, active_us=self.core.now)
+        caller = Caller(stream, StreamState.UP, True, accepted_us=self.core.now, last_active_us=self.core.now)
         self.by_stream[stream] = self.without_calls[stream] = caller
 
     def most(self) -> int:
@@ -124,14 +124,14 @@
         now, a connection goes on which nothing is open or stands; those on which calls stand go last.
         """
         stranger = next((c for c in self.without_calls.values() if c.idle), None)
-        if stranger is not None and self.core.now - stranger.active_us >= FRESH_US:
+        if stranger is not None and self.core.now - stranger.last_active_us >= FRESH_US:
             return stranger
-        needed = {call.caller for call in self.calls.by_id.values()}
-        idle = [c for c in self.by_stream.values() if c.trust and c.idle and not c.half_us]
-        known = min(idle, key=lambda c: (c.ident in needed, c.active_us), default=None)
+        needed = {call.caller_stream for call in self.calls.by_id.values()}
+        idle = [c for c in self.by_stream.values() if c.trust and c.idle and not c.partial_since_us]
+        known = min(idle, key=lambda c: (c.ident in needed, c.last_active_us), default=None)
         if known is None or (known.ident in needed and stranger is not None):
             return stranger
-        return known if self.core.now - known.active_us >= FRESH_US or stranger is None else stranger
+        return known if self.core.now - known.last_active_us >= FRESH_US or stranger is None else stranger
 
     def make_room(self) -> None:
         """The other process holds more now: what fits no more goes."""
@@ -141,12 +141,12 @@
 
     def half_read(self, caller: Caller, half: bool) -> None:
         """Its input ends within a message, or does so no more."""
-        caller.half_us = (caller.half_us or self.core.now) if half else 0
+        caller.partial_since_us = (caller.partial_since_us or self.core.now) if half else 0
         self.active(caller)
 
     def active(self, caller: Caller) -> None:
         """It has sent something. Strangers are kept in the order in which they last did."""
-        caller.active_us = self.core.now
+        caller.last_active_us = self.core.now
         if self.without_calls.pop(caller.ident, None) is not None:
             self.without_calls[caller.ident] = caller
 
@@ -154,7 +154,7 @@
         if caller.finishing:
             return
         self.active(caller)
-        caller.half_us = caller.half_us and self.core.now
+        caller.partial_since_us = caller.partial_since_us and self.core.now
         if isinstance(message, SetUp | InvalidSetUp):
             self.asked(caller, message, waited_us)
             if caller.trust:
@@ -165,12 +165,12 @@
                 # It may be that of a call which stood before this program was started anew.
                 self.core.counters["late_messages"] += 1
                 self.writing.queue(caller, ReleaseConfirmed(message.call))
-                if message.call not in self.calls.over:
+                if message.call not in self.calls.ended:
                     if self.phases.other_calls:
                         self.core.effects.append(ForwardRelease(message.call, message.cause))
                     self.fault(caller, "releases of unknown calls")
             else:
-                if call.stands_at is not None:
+                if call.standing_exchange is not None:
                     self.writing.queue(caller, ReleaseConfirmed(call.ident))
                 self.calls.told_over(call, message.cause)
         elif isinstance(message, ReleaseConfirmed) and caller.unconfirmed.pop(message.call, None) is not None:
@@ -189,7 +189,7 @@
         caller.move(StreamMove.CLOSE)
         del self.by_stream[caller.ident]
         self.without_calls.pop(caller.ident, None)
-        for ident in list(caller.owed):
+        for ident in list(caller.unanswered):
             self.core.counters["callers_vanished"] += 1
             self.calls.leave(self.calls.by_id[ident])
         for release in self.writing.unfinished_releases(caller):
--- a/latchturn/session/calls.py
+++ b/latchturn/session/calls.py
@@ -7,7 +7,7 @@
 from .component import Component
 from .limits import CUT_CALLS_LOGGED, DEADLINE_MARGIN_US, FORGET_US, OVER_MOST, OVERDUE_US
 from .machines import CALL, CallMove
-from .state import Call, Caller, Exchange, Over
+from .state import Call, Caller, EndedCall, Exchange
 from .timers import TimerKind
 from .trace import TraceEvent
 
@@ -17,7 +17,7 @@
 
     def __init__(self) -> None:
         self.by_id: dict[int, Call] = {}
-        self.over: dict[int, Over] = {}  # ended calls
+        self.ended: dict[int, EndedCall] = {}  # ended calls
 
     def offer(self, caller: Caller, set_up: SetUp, waited_us: int) -> None:
         """Take in a set-up that can be used. Its caller counts the time from its last byte, so what a busy
@@ -28,9 +28,9 @@
         deadline = self.core.now - waited_us + wait_us - min(DEADLINE_MARGIN_US, wait_us // 10)
         deadline = max(deadline, self.core.now)
         call = self.by_id[set_up.call] = Call(set_up, caller.ident, deadline)
-        caller.owed.add(set_up.call)
+        caller.unanswered.add(set_up.call)
         self.core.note(TraceEvent.CALL_TAKEN, call=set_up.call, stream=caller.ident)
-        self.over.pop(set_up.call, None)
+        self.ended.pop(set_up.call, None)
         call.timer = self.timers.set(deadline + OVERDUE_US - self.core.now, TimerKind.DEADLINE, call)
         figures = set_up.figures
         self.core.events.append(
@@ -50,10 +50,10 @@
     def final(self, ident: int, message: Answer | Release) -> None:
         """Give a call its one final answer."""
         call = self.by_id.get(ident)
-        if call is None or call.stands_at is not None:
+        if call is None or call.standing_exchange is not None:
             return
-        caller = self.callers.by_stream[call.caller]
-        caller.owed.discard(ident)
+        caller = self.callers.by_stream[call.caller_stream]
+        caller.unanswered.discard(ident)
         self.timers.drop(call.timer)
         if isinstance(message, Answer):
             self.classes.count("succeeded", call.set_up.class_name)
@@ -66,7 +66,7 @@
 
     def fail(self, call: Call, why: str) -> None:
         """Fail a call over the module's head, cleanly towards all sides."""
-        self.core.note(TraceEvent.CALL_FAILED, call=call.ident, stream=call.caller, reason=why)
+        self.core.note(TraceEvent.CALL_FAILED, call=call.ident, stream=call.caller_stream, reason=why)
         self.final(call.ident, Release(call.ident, ReleaseCause.TEMPORARY_FAILURE))
         self.leave(call)
 
@@ -82,7 +82,7 @@
             # have one of them sent that is no more, and its end would never be told.
             events.appendleft(i.CallerLeft(call.ident))
         if (attempt := call.attempt) is not None:
-            if attempt.sent and not attempt.given_up:
+            if attempt.sent and not attempt.giving_up:
                 self.writing.queue(attempt.link, Release(call.ident, ReleaseCause.NORMAL))
             self.attempts.end(attempt, i.Outcome.CANCELLED, concluded=True)
 
@@ -91,9 +91,9 @@
             return
         call.state = CALL.go(call.state, CallMove.FORGET)
         self.timers.drop(call.timer)
-        if call.caller in self.callers.by_stream:
-            self.callers.by_stream[call.caller].owed.discard(call.ident)
-        stood = call.stands_at is not None
+        if call.caller_stream in self.callers.by_stream:
+            self.callers.by_stream[call.caller_stream].unanswered.discard(call.ident)
+        stood = call.standing_exchange is not None
         self.remember_ended(call.ident, stood, answered or stood)
         self.release_unsure(call)
 
@@ -101,24 +101,24 @@
         """Guards the circuits of exchanges, and callers who are told of an end of what they had no answer for: a
         connection that breaks gives up its set-ups, but not one that was answered just before. A release under the
         id would also end a later attempt there, so it leaves once there can be none, and not where the call stands."""
-        for ident in sorted(call.unsure):
-            if ident != call.stands_at and ident in self.exchanges.by_id:
+        for ident in sorted(call.maybe_standing_at):
+            if ident != call.standing_exchange and ident in self.exchanges.by_id:
                 self.exchanges.release(self.exchanges.by_id[ident], Release(call.ident, ReleaseCause.NORMAL))
-        call.unsure.clear()
+        call.maybe_standing_at.clear()
 
     def remember_ended(self, ident: int, stood: bool, answered: bool) -> None:
-        self.over.pop(ident, None)
-        self.over[ident] = Over(self.core.now + FORGET_US, stood, answered)
+        self.ended.pop(ident, None)
+        self.ended[ident] = EndedCall(self.core.now + FORGET_US, stood, answered)
 
     def remember_answered(self, ident: int) -> None:
         """Guards against a second answer under the id of a set-up that was turned down as it came. Not while
         a flood has filled what is remembered."""
-        if ident and len(self.over) < OVER_MOST:
+        if ident and len(self.ended) < OVER_MOST:
             self.remember_ended(ident, False, True)
 
     def end_standing(self, call: Call, outcome: i.Outcome, report: i.Report | None = None) -> None:
         """A call that stood is over."""
-        at = call.stands_at
+        at = call.standing_exchange
         assert at is not None
         self.exchanges.by_id[at].standing.discard(call.ident)
         self.forget(call)
@@ -126,7 +126,13 @@
         self.core.note(TraceEvent.CALL_ENDED, call=call.ident, exchange=at, reason=outcome.name)
         self.core.events.append(
             i.AttemptEnded(
-                call.ident, call.attempts - 1, at, outcome, self.core.now - call.stood_us, True, report=report
+                call.ident,
+                call.attempt_count - 1,
+                at,
+                outcome,
+                self.core.now - call.standing_since_us,
+                True,
+                report=report,
             )
         )
 
@@ -137,7 +143,7 @@
     def stood_before(self, exchange: Exchange, before_us: int) -> list[Call]:
         """The calls that stood at an exchange before a moment, by id."""
         calls = (self.by_id[ident] for ident in sorted(exchange.standing))
-        return [call for call in calls if call.stood_us < before_us]
+        return [call for call in calls if call.standing_since_us < before_us]
 
     def end_unheard(self, exchange: Exchange, calls: list[Call], why: str) -> None:
         """Calls are taken to be over without a word from their exchange; should they go on there, it is told too."""
@@ -150,7 +156,7 @@
             self.note_cut(exchange, calls, why)
         for call in calls:
             self.end_standing(call, i.Outcome.CUT)
-            self.end_notices.send(call.caller, Release(call.ident, ReleaseCause.TEMPORARY_FAILURE))
+            self.end_notices.send(call.caller_stream, Release(call.ident, ReleaseCause.TEMPORARY_FAILURE))
 
     def note_cut(self, exchange: Exchange, cut: list[Call], why: str) -> None:
         """Record which calls are over with their exchange; the log names the first of them."""
@@ -161,23 +167,27 @@
 
     def told_over(self, call: Call, cause: int) -> None:
         """The caller gives a call up, or ends it if it stands."""
-        if call.stands_at is None:
+        if call.standing_exchange is None:
             self.core.counters["callers_gave_up"] += 1
-            self.core.note(TraceEvent.CALL_ABANDONED, call=call.ident, stream=call.caller)
+            self.core.note(TraceEvent.CALL_ABANDONED, call=call.ident, stream=call.caller_stream)
             self.leave(call)
         else:
-            exchange = self.exchanges.by_id[call.stands_at]
+            exchange = self.exchanges.by_id[call.standing_exchange]
             self.end_standing(call, i.Outcome.CANCELLED)
             self.exchanges.release(exchange, Release(call.ident, cause))
 
     def inherit(self, ident: int, exchange: int) -> None:
         """Enter a call that stood in the process before this one. The module does not know it: the told free
         circuits are without its own."""
-        if exchange in self.exchanges.by_id and ident not in self.by_id and ident not in self.over:
+        if exchange in self.exchanges.by_id and ident not in self.by_id and ident not in self.ended:
             self.core.counters["calls_inherited"] += 1
             call = self.by_id[ident] = Call(SetUp(ident, "", 0, "", b""), 0, self.core.now)
             call.state = CALL.go(call.state, CallMove.ANSWER)
-            call.stands_at, call.stood_us, call.unheard_us = exchange, self.core.now, self.core.now
+            call.standing_exchange, call.standing_since_us, call.end_missed_since_us = (
+                exchange,
+                self.core.now,
+                self.core.now,
+            )
             self.exchanges.by_id[exchange].standing.add(ident)
             # Its end may be told on the links of the process before, which are being closed.
             self.missed_ends.collect_soon(self.exchanges.by_id[exchange])
--- a/latchturn/session/end_notices.py
+++ b/latchturn/session/end_notices.py
@@ -31,9 +31,9 @@
         caller = self.callers.by_stream.get(preferred)
         if caller is None or caller.finishing:
             caller = self.best()
-        over = self.calls.over.get(release.call)
+        over = self.calls.ended.get(release.call)
         # One that has been told on connections which closed since has waited long enough already.
-        urgent = over is not None and self.core.now - (over.until_us - FORGET_US) >= HOLD_RELEASE_US
+        urgent = over is not None and self.core.now - (over.remembered_until_us - FORGET_US) >= HOLD_RELEASE_US
         if caller is None or not (caller.trust or urgent):
             self.core.note(TraceEvent.RELEASE_HELD, call=release.call)
             self.held.append((self.core.now + STANDING_RELEASE_US, release))
@@ -55,21 +55,21 @@
         unheard = [k for k, (at, _) in caller.unconfirmed.items() if at <= self.core.now - HEARD_US]
         for ident in unheard:
             _, release = caller.unconfirmed.pop(ident)
-            over = self.calls.over.get(ident)
-            if over is not None and over.stood and over.sent_again < SENT_AGAIN_MOST:
-                over.sent_again += 1
+            over = self.calls.ended.get(ident)
+            if over is not None and over.stood and over.resend_count < SENT_AGAIN_MOST:
+                over.resend_count += 1
                 self.core.counters["releases_sent_again"] += 1
                 self.writing.queue(other, release)
 
     def is_stuck(self, caller: Caller) -> bool:
         """Whether a write on a connection takes so long that its peer seems to take nothing in."""
-        return bool(caller.in_flight) and self.core.now - caller.write_began_us > HEARD_US
+        return bool(caller.in_flight) and self.core.now - caller.write_started_us > HEARD_US
 
     def send_stuck_ends(self, caller: Caller, other: Caller) -> None:
         """Send the ends of calls that wait on a stuck connection another way: they are owed within 1 s."""
-        stuck = [] if caller.write_passed_on else [m for m in caller.in_flight if self._is_end(m)]
+        stuck = [] if caller.ends_resent else [m for m in caller.in_flight if self._is_end(m)]
         waiting = [m for m in caller.outbox if self._is_end(m)]
-        caller.write_passed_on = True
+        caller.ends_resent = True
         caller.outbox = deque(m for m in caller.outbox if not self._is_end(m))
         for release in (*stuck, *waiting):
             self.core.counters["releases_sent_again"] += 1
@@ -77,7 +77,7 @@
 
     def _is_end(self, message: Outgoing) -> bool:
         """Whether a message tells the end of a call that stood."""
-        over = self.calls.over.get(message.call) if isinstance(message, Release) else None
+        over = self.calls.ended.get(message.call) if isinstance(message, Release) else None
         return over is not None and over.stood
 
     def other_than(self, caller: Caller) -> Caller | None:
@@ -87,7 +87,7 @@
 
     def best(self, but: Caller | None = None) -> Caller | None:
         open_ = [c for c in self.callers.by_stream.values() if not c.finishing and c is not but]
-        return max(open_, key=lambda c: (not self.is_stuck(c), c.trust, c.active_us)) if open_ else None
+        return max(open_, key=lambda c: (not self.is_stuck(c), c.trust, c.last_active_us)) if open_ else None
 
     def send_held(self, caller: Caller) -> None:
         """Send the releases that have been held for a connection."""
--- a/latchturn/session/exchanges.py
+++ b/latchturn/session/exchanges.py
@@ -126,7 +126,7 @@
         exchange = self.by_id[link.exchange]
         exchange.failures = 0
         self.liveness.heard(exchange, link)
-        link.half_us = link.half_us and self.core.now
+        link.partial_since_us = link.partial_since_us and self.core.now
         link.heard_us, link.missed_us, link.mute = self.core.now, 0, 0
         is_first_word = not link.first_heard_us
         if is_first_word:
@@ -134,7 +134,7 @@
             self.missed_ends.first_word(exchange, link)
         call = self.calls.by_id.get(message.call)
         attempt = call.attempt if call is not None else None
-        if attempt is not None and (attempt.link is not link or attempt.given_up or not attempt.sent):
+        if attempt is not None and (attempt.link is not link or attempt.giving_up or not attempt.sent):
             attempt = None
         if isinstance(message, Answer) and self.is_spliced(exchange, link, message):
             self.core.counters["garbled"] += 1
@@ -194,17 +194,17 @@
             call = self.calls.by_id.get(answer.call)
             at = None
             if call is not None:
-                at = call.attempt.link.exchange if call.attempt is not None else call.stands_at
+                at = call.attempt.link.exchange if call.attempt is not None else call.standing_exchange
             if at != exchange.ident:
                 self.writing.queue(link, Release(answer.call, ReleaseCause.NORMAL))
             return
         call = attempt.call
         self.attempts.give_back(attempt)
         self.core.counters["attempts_answered"] += 1
-        self.core.note(TraceEvent.CALL_ANSWERED, call=call.ident, exchange=exchange.ident, stream=call.caller)
+        self.core.note(TraceEvent.CALL_ANSWERED, call=call.ident, exchange=exchange.ident, stream=call.caller_stream)
         self.calls.final(call.ident, Answer(call.ident, answer.description))
         call.state = CALL.go(call.state, CallMove.ANSWER)
-        call.stands_at, call.stood_us, call.link = exchange.ident, self.core.now, link.ident
+        call.standing_exchange, call.standing_since_us, call.answer_link = exchange.ident, self.core.now, link.ident
         self.calls.release_unsure(call)
         exchange.standing.add(call.ident)
         self.core.events.append(
@@ -223,9 +223,9 @@
         Guards against ends told on the links of an exchange that has gone, where another has its address and the list
         still holds both: their links lead to one process, which takes any for its own.
         """
-        if call.stands_at is None or call.stands_at == exchange.ident:
-            return call.stands_at is not None
-        return self.by_id[call.stands_at].address == exchange.address
+        if call.standing_exchange is None or call.standing_exchange == exchange.ident:
+            return call.standing_exchange is not None
+        return self.by_id[call.standing_exchange].address == exchange.address
 
     def released(self, exchange: Exchange, link: Link, release: Release, attempt: Attempt | None) -> None:
         report = None if release.report is None else _report(release.report)
@@ -237,13 +237,13 @@
             self.liveness.ended(exchange, call)
             over = release.cause == ReleaseCause.NORMAL
             self.calls.end_standing(call, i.Outcome.RELEASED if over else i.Outcome.CUT, report)
-            self.end_notices.send(call.caller, Release(call.ident, release.cause))
+            self.end_notices.send(call.caller_stream, Release(call.ident, release.cause))
             self.writing.queue(link, ReleaseConfirmed(call.ident))
         else:
             if report is not None:
                 self.core.events.append(i.ExchangeReport(exchange.ident, True, False, 0, report))
             self.core.counters["late_messages"] += 1
-            if call is None and release.call not in self.calls.over and release.cause in ENDS:
+            if call is None and release.call not in self.calls.ended and release.cause in ENDS:
                 # The call stood before this program was started anew; its caller still has to hear.
                 self.calls.remember_ended(release.call, True, True)
                 self.end_notices.send(0, Release(release.call, release.cause))
--- a/latchturn/session/housekeeping.py
+++ b/latchturn/session/housekeeping.py
@@ -66,7 +66,7 @@
 
     def _check_write(self, stream: Stream) -> None:
         """Close a connection that has taken nothing in for too long."""
-        if stream.in_flight and self.core.now - stream.write_began_us > STUCK_US:
+        if stream.in_flight and self.core.now - stream.write_started_us > STUCK_US:
             self.writing.drop(stream, CloseReason.WRITE_STUCK)
 
     def _check_link(self, link: Link) -> None:
@@ -92,7 +92,7 @@
         caller.faults = max(0, caller.faults - FAULTS_FORGIVEN)
         if caller.finishing:
             return
-        if caller.half_us and self.core.now - caller.half_us > HALF_READ_US:
+        if caller.partial_since_us and self.core.now - caller.partial_since_us > HALF_READ_US:
             self.callers.shut(caller, "its message stays half read")
         elif not caller.sent_anything and caller.idle and self.core.now - caller.accepted_us > SPEAK_US:
             self.core.counters["callers_silent"] += 1
@@ -108,6 +108,6 @@
         """Drop releases that no link came up for, and the ids of calls that ended long ago."""
         for exchange in self.exchanges.by_id.values():
             exchange.unsent = [kept for kept in exchange.unsent if kept[0] > self.core.now]
-        over = self.calls.over
-        while over and (first := next(iter(over.items())))[1].until_us <= self.core.now:
+        over = self.calls.ended
+        while over and (first := next(iter(over.items())))[1].remembered_until_us <= self.core.now:
             del over[first[0]]
--- a/latchturn/session/links.py
+++ b/latchturn/session/links.py
@@ -54,14 +54,14 @@
 
     def half_read(self, link: Link, half: bool) -> None:
         """Its input ends within a message, or does so no more."""
-        began = half and not link.half_us
-        link.half_us = (link.half_us or self.core.now) if half else 0
+        began = half and not link.partial_since_us
+        link.partial_since_us = (link.partial_since_us or self.core.now) if half else 0
         if began:
             self.timers.set(LINK_HALF_READ_US, TimerKind.HALF_READ, link)
 
     def half_read_long(self, link: Link) -> None:
         """Guards the set-ups that would follow onto a link on which nothing more can be read."""
-        left = link.half_us + LINK_HALF_READ_US - self.core.now
+        left = link.partial_since_us + LINK_HALF_READ_US - self.core.now
         if left <= 0:
             self.core.counters["links_half_read"] += 1
             self.writing.drop(link, CloseReason.HALF_READ)
@@ -101,18 +101,23 @@
         del self.by_stream[link.ident]
         del exchange.links[link.slot]
         for attempt in sorted(link.attempts, key=lambda a: a.call.ident):
-            if not attempt.sent and link.up_us and attempt.moves < MOVES_MOST and self.exchanges.usable(exchange):
+            if (
+                not attempt.sent
+                and link.up_us
+                and attempt.link_changes < MOVES_MOST
+                and self.exchanges.usable(exchange)
+            ):
                 # Guards against taking the reset of a new or idle link for a dead exchange: nothing has left,
                 # so the attempt goes on over another link.
-                attempt.moves += 1
+                attempt.link_changes += 1
                 attempt.link = exchange.links.get(link.slot) or self.connect(exchange, link.slot)
                 attempt.link.attempts.add(attempt)
                 self.writing.queue(attempt.link, attempt)
             elif not attempt.sent:
                 self.attempts.end(attempt, i.Outcome.UNREACHABLE)
             else:
-                attempt.call.unsure.add(exchange.ident)
-                self.attempts.end(attempt, i.Outcome.TIMED_OUT if attempt.given_up else i.Outcome.CUT)
+                attempt.call.maybe_standing_at.add(exchange.ident)
+                self.attempts.end(attempt, i.Outcome.TIMED_OUT if attempt.giving_up else i.Outcome.CUT)
         for release in self.writing.unfinished_releases(link):
             self.exchanges.release(exchange, release)
         if link.up_us:
--- a/latchturn/session/liveness.py
+++ b/latchturn/session/liveness.py
@@ -114,7 +114,7 @@
 
     def ended(self, exchange: Exchange, call: Call) -> None:
         """An exchange has told the end of a call, which only the process at which it stood can do."""
-        if call.stood_us < exchange.replaced_us:
+        if call.standing_since_us < exchange.replaced_us:
             exchange.replaced_us = 0
 
     # --- conclusions ---
@@ -193,8 +193,8 @@
 
         Only of an exchange that has been quiet: on any other, what it is just sending on that link would be lost.
         """
-        needed = {self.calls.by_id[k].link for k in exchange.standing}
-        idle = [k for k in exchange.links.values() if not (k.attempts or k.half_us or self.is_last_witness(k))]
+        needed = {self.calls.by_id[k].answer_link for k in exchange.standing}
+        idle = [k for k in exchange.links.values() if not (k.attempts or k.partial_since_us or self.is_last_witness(k))]
         if not idle:
             return False
         least = min(idle, key=lambda k: (k.ident in needed, k.slot < KEPT, k.heard_us))
--- a/latchturn/session/missed_ends.py
+++ b/latchturn/session/missed_ends.py
@@ -21,7 +21,7 @@
     def stranded(self, exchange: Exchange) -> list[Call]:
         """The standing calls whose own link is no more, by id."""
         calls = (self.calls.by_id[ident] for ident in sorted(exchange.standing))
-        return [call for call in calls if call.link not in self.links.by_stream]
+        return [call for call in calls if call.answer_link not in self.links.by_stream]
 
     def link_lost(self, exchange: Exchange, link: Link, reason: CloseReason) -> None:
         """A link that was up is out of its table."""
@@ -29,9 +29,9 @@
         if opening_lost:
             for known in self.exchanges.at_address(exchange.address):
                 known.lost_opening_us = max(known.lost_opening_us, link.up_us)
-        carried = [call for call in self.stranded(exchange) if call.link == link.ident]
+        carried = [call for call in self.stranded(exchange) if call.answer_link == link.ident]
         for call in carried:
-            call.unheard_us = max(call.stood_us, link.heard_us)
+            call.end_missed_since_us = max(call.standing_since_us, link.heard_us)
         if carried or (opening_lost and self._may_have_untold_ends(exchange)):
             self.collect_soon(exchange)
 
@@ -57,8 +57,8 @@
     def check(self, exchange: Exchange) -> None:
         """Now and then: open a link to hear ends, and end in time what no link may tell of any more."""
         due_us = self.core.now - SILENT_US
-        suspected = [call for call in self.stranded(exchange) if call.unheard_us <= exchange.lost_opening_us]
-        missed = [call for call in suspected if call.unheard_us <= due_us]
+        suspected = [call for call in self.stranded(exchange) if call.end_missed_since_us <= exchange.lost_opening_us]
+        missed = [call for call in suspected if call.end_missed_since_us <= due_us]
         self.calls.end_unheard(exchange, missed, "may have been told over on links that are dead")
         if not exchange.collect_us or self.core.now < exchange.collect_us:
             return
--- a/latchturn/session/phases.py
+++ b/latchturn/session/phases.py
@@ -64,7 +64,7 @@
     def move(self, move: PhaseMove) -> None:
         """Go on to the next phase; ImpossibleMove if the table has none."""
         before, self.state = self.state, PHASE.go(self.state, move)
-        open_ = sum(call.stands_at is None for call in self.calls.by_id.values())
+        open_ = sum(call.standing_exchange is None for call in self.calls.by_id.values())
         text = f"{before.name} to {self.state.name} by {move.name}: {len(self.callers.by_stream)} connections"
         text += f", {open_} calls open, {len(self.calls.by_id) - open_} stand"
         self.core.note(TraceEvent.PHASE, reason=text)
@@ -72,7 +72,7 @@
     def finished(self) -> bool:
         """After SIGTERM: whether all that was taken is answered, and nothing new can come in."""
         since = self.core.now - self.term_us
-        busy = any(c.owed or c.outbox or c.in_flight for c in self.callers.by_stream.values())
+        busy = any(c.unanswered or c.outbox or c.in_flight for c in self.callers.by_stream.values())
         busy = busy or any(k.up and (k.outbox or k.in_flight) for k in self.links.by_stream.values())
         if self.core.now >= self.term_exit_us:
             return True
@@ -148,12 +148,12 @@
         patient = self.core.now < self.last_us
         # Ends of calls that stand are owed within 1 s, and no other connection may come for them: theirs stay until
         # these are told, and new set-ups on them are refused. A successor hears of the ends and passes them on.
-        needed = {call.caller for call in self.calls.by_id.values()}
+        needed = {call.caller_stream for call in self.calls.by_id.values()}
         for caller in self.callers.by_stream.values():
-            speaks = patient and (caller.half_us or self.core.now - caller.accepted_us < DRAIN_QUIET_US)
+            speaks = patient and (caller.partial_since_us or self.core.now - caller.accepted_us < DRAIN_QUIET_US)
             needs = caller.ident in needed and (patient or not self.succeeded)
             if caller.idle and not caller.finishing and not speaks and not needs:
-                caller.closing = CloseReason.DRAINED
+                caller.close_reason = CloseReason.DRAINED
                 self.core.effects.append(CloseIdle(caller.ident))
 
     def hand_over(self, serves: bool) -> None:
@@ -202,7 +202,7 @@
         """Guards against calls that the end of the program would leave without an answer."""
         if self.core.now >= self.term_last_us and not self.answer_all:
             self.answer_all = True
-            for call in [c for c in self.calls.by_id.values() if c.stands_at is None]:
+            for call in [c for c in self.calls.by_id.values() if c.standing_exchange is None]:
                 self.calls.fail(call, "the program ends")
 
     def go_on(self) -> None:
@@ -213,7 +213,7 @@
             self.core.effects.append(AcceptCallers(True))
         if self.term_us and self.state is not PhaseState.EXITED and self.closed_for_the_end():
             if self.succeeded:
-                standing = [(c.ident, c.stands_at) for c in self.calls.by_id.values()]
+                standing = [(c.ident, c.standing_exchange) for c in self.calls.by_id.values()]
                 self.core.effects.append(HandOverCalls(tuple((k, at) for k, at in standing if at is not None)))
             self.move(PhaseMove.EXIT)
             self.core.effects.append(Exit())
@@ -227,7 +227,7 @@
                 return False
             self.closing_us = self.core.now
             self.answer_all = True
-            for call in [c for c in self.calls.by_id.values() if c.stands_at is None]:
+            for call in [c for c in self.calls.by_id.values() if c.standing_exchange is None]:
                 self.calls.fail(call, "the program ends")
             self.close_idle()
         late_us = max(self.closing_us + TERM_CLOSE_MOST_US, self.term_last_us + TERM_FLUSH_US)
@@ -240,7 +240,7 @@
         self.timers.set(TERM_CLOSE_STEP_US, TimerKind.CLOSE)
         for caller in self.callers.by_stream.values():
             if caller.idle and not caller.finishing:
-                caller.closing = CloseReason.PROGRAM_ENDS
+                caller.close_reason = CloseReason.PROGRAM_ENDS
                 self.core.effects.append(CloseIdle(caller.ident))
 
     @property
--- a/latchturn/session/reducer.py
+++ b/latchturn/session/reducer.py
@@ -109,7 +109,7 @@
     def _met_fault(self, call: int) -> None:
         """Guards against faults of our own: one event's fault must not end the others' calls."""
         self._fault(call)
-        if call in self.calls.by_id and self.calls.by_id[call].stands_at is None:
+        if call in self.calls.by_id and self.calls.by_id[call].standing_exchange is None:
             try:
                 self.calls.fail(self.calls.by_id[call], "a fault of the program")
             except Exception:  # noqa: BLE001
@@ -231,7 +231,7 @@
         if kind is TimerKind.MODULE and isinstance(what, int):
             self.core.events.append(i.TimerDue(what))
         elif kind is TimerKind.DEADLINE and isinstance(what, Call):
-            if self.calls.by_id.get(what.ident) is what and what.stands_at is None:
+            if self.calls.by_id.get(what.ident) is what and what.standing_exchange is None:
                 self.core.counters["overdue"] += 1
                 self.calls.fail(what, "its deadline has come")
         elif kind is TimerKind.ATTEMPT and isinstance(what, Attempt):
@@ -241,7 +241,7 @@
             if what.call.attempt is what:
                 self.writing.drop(what.link, CloseReason.GIVE_UP_STUCK)
         elif kind is TimerKind.HALF_READ and isinstance(what, Link):
-            if self.links.by_stream.get(what.ident) is what and what.half_us:
+            if self.links.by_stream.get(what.ident) is what and what.partial_since_us:
                 self.links.half_read_long(what)
         elif kind is TimerKind.RECONNECT and isinstance(what, Exchange):
             self.links.keep(what)
--- a/latchturn/session/state.py
+++ b/latchturn/session/state.py
@@ -17,13 +17,13 @@
 
 
 @dataclass(slots=True)
-class Over:
+class EndedCall:
     """What is kept of an ended call."""
 
-    until_us: int
+    remembered_until_us: int
     stood: bool
     answered: bool
-    sent_again: int = 0  # how often its release has been sent again
+    resend_count: int = 0  # how often its release has been sent again
 
 
 @dataclass(slots=True, eq=False)
@@ -31,18 +31,20 @@
     """A call from its set-up to its final answer, or to its end if it stood."""
 
     set_up: SetUp
-    caller: int  # stream
+    caller_stream: int
     deadline_us: int
     timer: Timer | None = None
-    attempts: int = 0
+    attempt_count: int = 0
     attempt: Attempt | None = None
     state: CallState = CallState.OWED
-    stood_us: int = 0
-    stands_at: int | None = None  # exchange
-    link: int = 0  # stream on which it came to stand
-    unheard_us: int = 0  # since when its end may have been told unheard, once that link is lost
-    used: set[tuple[int, int]] = field(default_factory=set)  # exchange and slot of earlier attempts
-    unsure: set[int] = field(default_factory=set)  # exchanges where an attempt may stand though its answer is lost
+    standing_since_us: int = 0
+    standing_exchange: int | None = None
+    answer_link: int = 0  # link (stream number) on which it was answered
+    end_missed_since_us: int = 0  # since when its end may have been told unheard, once that link is lost
+    used_slots: set[tuple[int, int]] = field(default_factory=set)  # exchange and slot of earlier attempts
+    maybe_standing_at: set[int] = field(
+        default_factory=set
+    )  # exchanges where an attempt may stand though its answer is lost
 
     @property
     def ident(self) -> int:
@@ -59,7 +61,7 @@
     started_us: int
     due_us: int
     timer: Timer | None = None
-    moves: int = 0  # to another link, before it was sent
+    link_changes: int = 0  # to another link, before it was sent
     state: AttemptState = AttemptState.QUEUED
     sent_us: int = 0
 
@@ -69,18 +71,18 @@
         return self.state is not AttemptState.QUEUED and self.state is not AttemptState.OVER
 
     @property
-    def given_up(self) -> bool:
+    def giving_up(self) -> bool:
         return self.state is AttemptState.GIVING_UP
 
 
 @dataclass(slots=True, frozen=True)
-class GiveUpDue:
+class PendingGiveUp:
     """Outbox item: the give-up of an attempt that timed out; the attempt ends once it is written."""
 
     attempt: Attempt
 
 
-Outgoing = Message | Attempt | GiveUpDue
+Outgoing = Message | Attempt | PendingGiveUp
 
 
 @dataclass(slots=True, eq=False)
@@ -92,8 +94,8 @@
     up: bool = False  # whether it can be written to, as its state says
     outbox: deque[Outgoing] = field(default_factory=deque)
     in_flight: list[Outgoing] = field(default_factory=list)
-    write_began_us: int = 0
-    half_us: int = 0  # since when its input ends within a message, 0 if it does not
+    write_started_us: int = 0
+    partial_since_us: int = 0  # since when its input ends within a message, 0 if it does not
     unconfirmed: dict[int, tuple[int, Release]] = field(default_factory=dict)  # call -> when written, what
 
     def move(self, move: StreamMove) -> None:
@@ -104,14 +106,14 @@
 
 @dataclass(slots=True, eq=False)
 class Caller(Stream):
-    owed: set[int] = field(default_factory=set)  # calls set up on it that have no final answer
+    unanswered: set[int] = field(default_factory=set)  # calls set up on it that have no final answer
     accepted_us: int = 0
-    active_us: int = 0
+    last_active_us: int = 0
     sent_anything: bool = False  # whether it has been sent anything
-    write_passed_on: bool = False  # whether the ends in the present write have been sent another way
+    ends_resent: bool = False  # whether the ends in the present write have been sent another way
     trust: int = 0  # 1 once it has sent a set-up that can be used, 2 once a call of its has stood
     faults: int = 0  # messages of no use lately
-    closing: CloseReason | None = None  # why it is asked to be closed once nothing lies unread on it
+    close_reason: CloseReason | None = None  # why it is asked to be closed once nothing lies unread on it
 
     @property
     def finishing(self) -> bool:
@@ -120,7 +122,7 @@
 
     @property
     def idle(self) -> bool:
-        return not (self.owed or self.outbox or self.in_flight)
+        return not (self.unanswered or self.outbox or self.in_flight)
 
 
 @dataclass(slots=True, eq=False)
--- a/latchturn/session/writing.py
+++ b/latchturn/session/writing.py
@@ -8,7 +8,7 @@
 from .inputs_and_effects import Close, Write
 from .limits import MAX_OUTBOX, RESEND_US, STANDING_RELEASE_US, WRITE_BATCH
 from .machines import ATTEMPT, AttemptMove, StreamMove
-from .state import Attempt, Caller, GiveUpDue, Link, Outgoing, Stream
+from .state import Attempt, Caller, Link, Outgoing, PendingGiveUp, Stream
 from .trace import CloseReason, TraceEvent
 
 
@@ -26,9 +26,9 @@
         releases = {m.call: m for m in (*lately, *waiting)}
         if isinstance(stream, Link):
             for ident in releases.keys() & self.calls.by_id.keys():
-                self.calls.by_id[ident].unsure.add(stream.exchange)
-            return [m for ident, m in releases.items() if ident in self.calls.over]
-        return [m for ident, m in releases.items() if ident in self.calls.over and self.calls.over[ident].stood]
+                self.calls.by_id[ident].maybe_standing_at.add(stream.exchange)
+            return [m for ident, m in releases.items() if ident in self.calls.ended]
+        return [m for ident, m in releases.items() if ident in self.calls.ended and self.calls.ended[ident].stood]
 
     def _unproved_since(self, stream: Caller | Link) -> int:
         """What was written later may not have arrived: lately, on a link since it last told anything, and to a caller
@@ -65,7 +65,7 @@
             self.links.lose(link, CloseReason.PEER_RESET)
         elif stream in self.callers.by_stream:
             caller = self.callers.by_stream[stream]
-            self.note_closed(caller, caller.closing or CloseReason.PEER_RESET)
+            self.note_closed(caller, caller.close_reason or CloseReason.PEER_RESET)
             self.callers.lose(caller)
 
     def queue(self, stream: Stream, item: Outgoing) -> None:
@@ -84,7 +84,7 @@
             message: Message | None
             if isinstance(item, Attempt):
                 message = self.attempts.as_it_leaves(item)
-            elif isinstance(item, GiveUpDue):
+            elif isinstance(item, PendingGiveUp):
                 message = Release(item.attempt.call.ident, ReleaseCause.NORMAL)
             else:
                 message = item
@@ -94,11 +94,11 @@
             stream.in_flight.append(item)
         if messages:
             if isinstance(stream, Caller):
-                stream.write_passed_on = False
+                stream.ends_resent = False
                 stream.sent_anything = stream.sent_anything or not all(
                     isinstance(m, ReleaseConfirmed) for m in messages
                 )
-            stream.write_began_us = self.core.now
+            stream.write_started_us = self.core.now
             self.core.effects.append(Write(stream.ident, tuple(messages)))
 
     def wrote(self, ident: int) -> None:
@@ -107,7 +107,7 @@
             return
         items, stream.in_flight = stream.in_flight, []
         for item in items:
-            if isinstance(item, GiveUpDue):
+            if isinstance(item, PendingGiveUp):
                 call = item.attempt.call.ident
                 stream.unconfirmed[call] = (self.core.now, Release(call, ReleaseCause.NORMAL))
                 if item.attempt.call.attempt is item.attempt:
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -294,7 +294,7 @@
 
     def test_or_when_the_time_is_up_while_the_old_link_stays_silent(self) -> None:
         self.silent_then_new()
-        deadline = self.desk.session.calls.by_id[5].stood_us + 7 * SECOND
+        deadline = self.desk.session.calls.by_id[5].standing_since_us + 7 * SECOND
         written: list[tuple[int, p.Message]] = []
         while self.desk.now < deadline and (1, END) not in written:
             written += self.desk.pass_time(SECOND // 10)
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -602,7 +602,7 @@
     def test_calls_beyond_a_connections_budget_are_refused_at_once(self) -> None:
         for k in range(1, limits.OPEN_MOST + 1):
             self.desk.hear(1, set_up(k, wait_ms=9000))
-        owed = len(self.desk.session.callers.by_stream[1].owed)
+        owed = len(self.desk.session.callers.by_stream[1].unanswered)
         self.assertLessEqual(owed, limits.OPEN_MOST)
         for k in range(owed, limits.OPEN_MOST + 1):
             written = self.desk.hear(1, set_up(1000 + k, wait_ms=9000))
