--- a/tests/test_missed_ends.py
+++ b/tests/test_missed_ends.py
@@ -34,7 +34,7 @@
         desk, asked = self.desk, []
         for connect in desk.connects[self.answered :]:
             link = desk.session.links.by_stream.get(connect.stream)
-            if link is not None and not link.up_us:
+            if link is not None and not link.up_since_us:
                 desk.do(s.Connected(connect.stream))
                 asked.append(connect.stream)
                 if speaks:
@@ -100,7 +100,7 @@
     def test_a_call_goes_on_whose_next_link_brought_all_that_comes_first(self) -> None:
         self.lose(self.desk.link[1])
         streams = self.come_up()
-        self.pass_time(self.desk.now + limits.OPENING_US)
+        self.pass_time(self.desk.now + limits.INITIAL_MESSAGES_US)
         for stream in streams:
             self.lose(stream)
         self.pass_time(self.began + 3 * TOLD_US)
@@ -128,7 +128,7 @@
         desk = self.desk
         self.lose(desk.link[1])
         forgotten = self.come_up(speaks=False)
-        desk.pass_time(limits.PROBE_AFTER_US + limits.SWEEP_US)
+        desk.pass_time(limits.PROBE_AFTER_US + limits.SWEEP_INTERVAL_US)
         later = self.come_up()
         self.assertTrue(later)
         desk.pass_time(SECOND)
@@ -146,7 +146,9 @@
         for connect in self.desk.connects[-2:]:
             self.desk.do(s.Connected(connect.stream))
             self.desk.hear(connect.stream, group_state(3))
-        self.links = {self.desk.session.links.by_stream[c.stream].exchange: c.stream for c in self.desk.connects[-2:]}
+        self.links = {
+            self.desk.session.links.by_stream[c.stream].exchange_id: c.stream for c in self.desk.connects[-2:]
+        }
         self.desk.pass_time_in_touch(SECOND)
         (stream, _), *_ = self.desk.hear(1, set_up(5, to=2))
         self.desk.hear(stream, p.Answer(5, b"yes"))
@@ -164,12 +166,16 @@
     def test_a_link_to_the_other_that_is_lost_in_the_queue_may_have_been_told_the_end(self) -> None:
         desk, began_us = self.desk, self.desk.now
         desk.do(s.EndOfInput(self.links[102]))
-        coming = [k for k, link in desk.session.links.by_stream.items() if link.exchange == 102 and not link.up_us]
+        coming = [
+            k for k, link in desk.session.links.by_stream.items() if link.exchange_id == 102 and not link.up_since_us
+        ]
         for stream in coming:
             desk.do(s.Connected(stream))
             desk.hear(stream, group_state(4))
         desk.pass_time_in_touch(SECOND, SECOND // 4)
-        lost = next(k for k, link in desk.session.links.by_stream.items() if link.exchange == 101 and not link.up_us)
+        lost = next(
+            k for k, link in desk.session.links.by_stream.items() if link.exchange_id == 101 and not link.up_since_us
+        )
         desk.do(s.Connected(lost))
         desk.do(s.ConnectionClosed(lost))
         written = desk.pass_time_in_touch(began_us + TOLD_US - desk.now, SECOND // 4)
@@ -211,7 +217,7 @@
 
     def test_one_that_hangs_later_has_no_calls_of_that_process(self) -> None:
         desk, stream = self.start_among_hung_exchanges()
-        desk.pass_time(limits.PREDECESSOR_US + 3 * SECOND)
+        desk.pass_time(limits.PREDECESSOR_ENDS_US + 3 * SECOND)
         connects = len(desk.connects)
         desk.hear(stream, group_state(3))
         desk.pass_time_in_touch(SOON_US, SOON_US // 4)
