--- a/latchturn/session/missed_ends.py
+++ b/latchturn/session/missed_ends.py
@@ -28,7 +28,7 @@
     def stranded(self, exchange: Exchange) -> list[Call]:
         """The standing calls whose own link is no more, by id."""
         calls = (self.calls.by_id[ident] for ident in sorted(exchange.standing_calls))
-        return [call for call in calls if call.link not in self.links.by_stream]
+        return [call for call in calls if call.answer_link not in self.links.by_stream]
 
     def link_lost(self, exchange: Exchange, link: Link, reason: CloseReason) -> None:
         """A link that was up is out of its table."""
@@ -36,9 +36,9 @@
         if opening_lost:
             for known in self.exchanges.at_address(exchange.address):
                 known.initial_messages_lost_us = max(known.initial_messages_lost_us, link.up_since_us)
-        carried = [call for call in self.stranded(exchange) if call.link == link.ident]
+        carried = [call for call in self.stranded(exchange) if call.answer_link == link.ident]
         for call in carried:
-            call.unheard_us = max(call.stood_us, link.last_received_us)
+            call.end_missed_since_us = max(call.standing_since_us, link.last_received_us)
         if carried or (opening_lost and self._may_have_untold_ends(exchange)):
             self.collect_soon(exchange)
 
@@ -64,8 +64,10 @@
     def check(self, exchange: Exchange) -> None:
         """Now and then: open a link to hear ends, and end in time what no link may tell of any more."""
         due_us = self.core.now - SILENCE_LIMIT_US
-        suspected = [call for call in self.stranded(exchange) if call.unheard_us <= exchange.initial_messages_lost_us]
-        missed = [call for call in suspected if call.unheard_us <= due_us]
+        suspected = [
+            call for call in self.stranded(exchange) if call.end_missed_since_us <= exchange.initial_messages_lost_us
+        ]
+        missed = [call for call in suspected if call.end_missed_since_us <= due_us]
         self.calls.end_unheard(exchange, missed, "may have been told over on links that are dead")
         if not exchange.recovery_due_us or self.core.now < exchange.recovery_due_us:
             return
