--- a/latchturn/checking/environment.py
+++ b/latchturn/checking/environment.py
@@ -17,18 +17,18 @@
 from .. import session as s
 from ..session.timers import Timer, TimerKind
 from .history import History, Observation
+from .leftovers import leftovers, stale_timers
 from .properties import NOTHING_LEFT, PROPERTIES
-from .remains import hanging, remains
 from .scopes import SETTINGS, VARIANTS, WAIT_MS, Scope
 
-START = 1 << 51  # an integer above half of it is a moment, and nothing else is
-MOMENT = START >> 1
+START_US = 1 << 51  # an integer above half of it is a time_us, and nothing else is
+TIME_THRESHOLD_US = START_US >> 1
 Choice = tuple[str | int, ...]
-CHANNEL = ("127.0.0.1", 9)
-CLASS = p.settings_text(SETTINGS.classes[0].name)
-REMEMBERED_US = 9_000_000  # ids of ended calls are known for 10 s, so they are not used again after that here
+CHANNEL_ADDRESS = ("127.0.0.1", 9)
+CLASS_NAME = p.settings_text(SETTINGS.classes[0].name)
+ID_REUSE_LIMIT_US = 9_000_000  # ids of ended calls are known for 10 s, so they are not used again after that here
 # Steps of 1.5 s at the end. A release that waits for a link may be written in the first ones and is kept for 8 s.
-END_STEPS = 16
+FINAL_STEPS = 16
 DESCRIPTION = b"v=0\x00\xff"
 REFUSALS: dict[str, tuple[p.ReleaseCause, str]] = {
     "reset": (p.ReleaseCause.TEMPORARY_FAILURE, ""),
@@ -40,7 +40,7 @@
 }
 
 
-AGAIN = (
+FOLLOW_UP_KINDS = (
     "redial",
     "same_id",
     "other_id",
@@ -51,8 +51,8 @@
     "unsucceed",
 )  # may follow
 # What calls meet each day; every other kind is rare, and a scope says how many rare ones a path may have.
-COMMON = {"set_up", "tick", "answer", "refuse", "end", "cut", "accept", "through"}
-AFTER = {"late", "twice", "astray"}  # words that come after all is over, and are the same at any moment
+COMMON_KINDS = {"set_up", "tick", "answer", "refuse", "end", "cut", "accept", "through"}
+LATE_KINDS = {"late", "twice", "astray"}  # words that come after all is over, and are the same at any time_us
 
 
 class MedianRandom(random.Random):
@@ -74,28 +74,28 @@
     port: int
     alive: bool = True
     died_us: int = 0
-    answers: int = 0  # made so far, so that each is told from the others
+    answers_made: int = 0  # made so far, so that each is told from the others
 
 
 @dataclass(slots=True)
 class ReceivedSetUp:
     """A set-up that has reached an exchange: what may still be said of it."""
 
-    call: int
+    call_id: int
     given_up: bool = False
-    said: str = ""  # the last word on it
+    last_reply: str = ""  # the last word on it
 
 
 @dataclass(slots=True)
 class Peer:
     """One connection, seen from its other end."""
 
-    far: int = 0  # exchange, 0 for a caller's
-    asked: dict[int, ReceivedSetUp] = field(default_factory=dict)
+    exchange_id: int = 0  # exchange, 0 for a caller's
+    set_ups: dict[int, ReceivedSetUp] = field(default_factory=dict)
     stalled: bool = False
-    held: tuple[p.Message, ...] | None = None  # being written, not through
-    seen: bool = False  # what is held has reached the peer all the same
-    half: bool = False
+    pending_write: tuple[p.Message, ...] | None = None  # being written, not through
+    pending_arrived: bool = False  # what is held has reached the peer all the same
+    partial: bool = False
     half_closed: bool = False
 
 
@@ -109,196 +109,198 @@
 
 
 class Environment:
-    """The reducer among its peers, at one moment of one path."""
+    """The reducer among its peers, at one time_us of one path."""
 
     def __init__(self, scope: Scope) -> None:
         self.scope = scope
-        self.now_us = START
-        self.left = dict(scope.budgets)
-        self.rare = scope.rare
-        self.idle = scope.idle_moments
+        self.now_us = START_US
+        self.remaining_budgets = dict(scope.budgets)
+        self.remaining_rare_choices = scope.rare_choices
+        self.remaining_idle_steps = scope.idle_steps
         self.history = History(SETTINGS, self._check_properties)
         self.session = s.Session(SETTINGS, 1, 1024)
         self.session.core.random = MedianRandom()
         self.session.decision_module.controller.random = MedianRandom()
-        self.fars = {100 + k: SimulatedExchange(100 + k, k, 5000 + k) for k in range(1, scope.exchanges + 1)}
+        self.simulated_exchanges = {
+            100 + k: SimulatedExchange(100 + k, k, 5000 + k) for k in range(1, scope.exchanges + 1)
+        }
         self.peers: dict[int, Peer] = {}
         self.connecting: dict[int, tuple[int, int]] = {}  # link -> exchange, when it times out
-        self.standing: dict[int, int] = {}  # call -> exchange, as exchanges have it
-        self.inherited: dict[int, int] = {}
-        self.next_call = 1
-        self.next_caller = 1
-        self.next_far = 200
-        self.events = 1  # of the list
-        self.last: p.ListUpdate | None = None
-        self.drained: set[int] = set()
+        self.standing_calls: dict[int, int] = {}  # call -> exchange, as exchanges have it
+        self.inherited_calls: dict[int, int] = {}
+        self.next_call_id = 1
+        self.next_caller_stream = 1
+        self.next_exchange_id = 200
+        self.last_update_number = 1  # of the list
+        self.last_update: p.ListUpdate | None = None
+        self.draining_exchanges: set[int] = set()
         self.calls_made = 0
-        self.anew: dict[int, int] = {}  # exchange -> when it returned, which the list has not told yet
-        self.due_now = False  # the clock stands at a timer that has not run yet
-        self.taking = False
-        self.story: list[tuple[int, object]] | None = None  # what happened, where somebody reads it
-        listed = [self._listed(far) for far in self.fars.values()]
+        self.unlisted_restarts_us: dict[int, int] = {}  # exchange -> when it returned, which the list has not told yet
+        self.timer_pending = False  # the clock stands at a timer that has not run yet
+        self.accepting_callers = False
+        self.recording: list[tuple[int, object]] | None = None  # what happened, where somebody reads it
+        listed = [self._exchange_record(exchange) for exchange in self.simulated_exchanges.values()]
         own = p.ExchangeRecord(i.ListEntry(100, 0, i.ListState.READY, 0), ("127.0.0.1", 5000))
-        known = p.ListUpdate(1, i.ListKind.FULL, (own, *listed))
-        self._feed(s.Started((known,), 1, CHANNEL, scope.replaces))
-        self._feed(s.ListenerReady())
+        update = p.ListUpdate(1, i.ListKind.FULL, (own, *listed))
+        self._submit(s.Started((update,), 1, CHANNEL_ADDRESS, scope.starts_beside_another))
+        self._submit(s.ListenerReady())
         while self.connecting:
-            self._accept(min(self.connecting))
-        for _ in range(scope.callers if not scope.replaces else 0):
-            self._call_in()
+            self._accept_link(min(self.connecting))
+        for _ in range(scope.callers if not scope.starts_beside_another else 0):
+            self._connect_caller()
         self.history.step_done()
 
     @property
-    def budgeted(self) -> bool:
+    def connects_by_choice(self) -> bool:
         """Whether links are answered by choice."""
-        return bool(self.left.get("refuse_link") or self.left.get("silent_link"))
+        return bool(self.remaining_budgets.get("refuse_link") or self.remaining_budgets.get("silent_link"))
 
     # --- one step ---
 
-    def do(self, choice: Choice) -> None:
+    def apply(self, choice: Choice) -> None:
         """Make a choice and let all that it brings up happen. Broken if a property does not hold after it."""
         kind = str(choice[0])
-        if kind in self.left:
-            self.left[kind] -= 1
-        self.rare -= kind not in COMMON
+        if kind in self.remaining_budgets:
+            self.remaining_budgets[kind] -= 1
+        self.remaining_rare_choices -= kind not in COMMON_KINDS
         getattr(self, "_do_" + kind)(*choice[1:])
-        if not self.budgeted:
+        if not self.connects_by_choice:
             for link in list(self.connecting):
-                if self.connecting.get(link, (0, 0))[0] in self.fars:
-                    self._answer_connect(link)
+                if self.connecting.get(link, (0, 0))[0] in self.simulated_exchanges:
+                    self._complete_connect(link)
         self.history.step_done()
 
-    def _feed(self, *inputs: s.Input) -> None:
+    def _submit(self, *inputs: s.Input) -> None:
         """Hand inputs to the reducer as the network does: what effects bring up follows at once, in order."""
         queue = deque(inputs)
         while queue:
-            happened = queue.popleft()
-            if self.story is not None:
-                self.story.append((self.now_us, happened))
+            input_ = queue.popleft()
+            if self.recording is not None:
+                self.recording.append((self.now_us, input_))
             self.history.now_us = self.now_us
-            self.history.record_input(happened)
-            for effect in self.session.step(self.now_us, happened):
-                if self.story is not None:
-                    self.story.append((self.now_us, effect))
+            self.history.record_input(input_)
+            for effect in self.session.step(self.now_us, input_):
+                if self.recording is not None:
+                    self.recording.append((self.now_us, effect))
                 self.history.record_effect(effect)
-                self._run(effect, queue)
+                self._perform(effect, queue)
 
-    def _check_properties(self, event: Observation) -> None:
+    def _check_properties(self, observation: Observation) -> None:
         for property_ in PROPERTIES:
-            if (wrong := property_.violation(self.history, event)) is not None:
-                raise PropertyViolation(property_.name, wrong)
+            if (problem := property_.violation(self.history, observation)) is not None:
+                raise PropertyViolation(property_.name, problem)
 
-    def _run(self, effect: s.Effect, queue: deque[s.Input]) -> None:
+    def _perform(self, effect: s.Effect, queue: deque[s.Input]) -> None:
         match effect:
             case s.Write(stream, messages):
                 peer = self.peers.get(stream)
                 if peer is None:
                     return
                 if peer.stalled:
-                    peer.held, peer.seen = messages, False
+                    peer.pending_write, peer.pending_arrived = messages, False
                 else:
-                    self._reach(stream, peer, messages)
+                    self._deliver(stream, peer, messages)
                     queue.append(s.WriteCompleted(stream))
             case s.Connect(stream, address, timeout_us):
-                at = [f.ident for f in self.fars.values() if f.port == address[1]]
-                self.connecting[stream] = (at[-1] if at else 0, self.now_us + timeout_us)
+                listening = [e.ident for e in self.simulated_exchanges.values() if e.port == address[1]]
+                self.connecting[stream] = (listening[-1] if listening else 0, self.now_us + timeout_us)
             case s.Close(stream):
                 if self.connecting.pop(stream, None) is not None:
                     queue.append(s.ConnectFailed(stream, False))
                 elif self.peers.pop(stream, None) is not None:
                     queue.append(s.ConnectionClosed(stream))
             case s.CloseIdle(stream):
-                if (peer := self.peers.get(stream)) is not None and not peer.half:
+                if (peer := self.peers.get(stream)) is not None and not peer.partial:
                     del self.peers[stream]
                     queue.append(s.ConnectionClosed(stream))
             case s.AcceptCallers(on):
-                if on and not self.taking and self.scope.replaces:
+                if on and not self.accepting_callers and self.scope.starts_beside_another:
                     for _ in range(self.scope.callers):
-                        self.next_caller += 1
-                        self.peers[self.next_caller - 1] = Peer()
-                        queue.append(s.Accepted(self.next_caller - 1))
-                self.taking = on
+                        self.next_caller_stream += 1
+                        self.peers[self.next_caller_stream - 1] = Peer()
+                        queue.append(s.Accepted(self.next_caller_stream - 1))
+                self.accepting_callers = on
             case _:
                 pass
 
-    def _reach(self, stream: int, peer: Peer, messages: tuple[p.Message, ...]) -> None:
+    def _deliver(self, stream: int, peer: Peer, messages: tuple[p.Message, ...]) -> None:
         """What is written has come to its peer."""
-        if not peer.far:
+        if not peer.exchange_id:
             return
         for message in messages:
             if isinstance(message, p.SetUp):
-                peer.asked[message.call] = ReceivedSetUp(message.call)
+                peer.set_ups[message.call] = ReceivedSetUp(message.call)
             elif isinstance(message, p.Release):
-                if message.call in peer.asked:
-                    peer.asked[message.call].given_up = True
-                elif self.standing.get(message.call) == peer.far:
-                    del self.standing[message.call]
+                if message.call in peer.set_ups:
+                    peer.set_ups[message.call].given_up = True
+                elif self.standing_calls.get(message.call) == peer.exchange_id:
+                    del self.standing_calls[message.call]
 
     # --- the clock ---
 
     def _next_due(self) -> tuple[int, bool] | None:
-        """The next moment at which something is due, and whether it is the reducer's own."""
-        own = min((at for at, _, t in self.session.timers.heap if self.alive(t)), default=None)
-        others = [due for _, due in self.connecting.values()]
-        if (deadline := self.history.next_due_us()) is not None:
-            others.append(deadline)
-        other = min(others, default=None)
-        if own is not None and (other is None or own <= other):
-            return max(own, self.now_us), True
-        return None if other is None else (other, False)
-
-    def alive(self, timer: Timer) -> bool:
+        """The next time_us at which something is due, and whether it is the reducer's reducer_due_us."""
+        reducer_due_us = min((at for at, _, t in self.session.timers.heap if self.timer_is_live(t)), default=None)
+        other_times_us = [due for _, due in self.connecting.values()]
+        if (deadline_us := self.history.next_due_us()) is not None:
+            other_times_us.append(deadline_us)
+        other_due_us = min(other_times_us, default=None)
+        if reducer_due_us is not None and (other_due_us is None or reducer_due_us <= other_due_us):
+            return max(reducer_due_us, self.now_us), True
+        return None if other_due_us is None else (other_due_us, False)
+
+    def timer_is_live(self, timer: Timer) -> bool:
         """Whether a timer may still do anything: those withdrawn would only add moments."""
-        what = timer.what
+        subject = timer.what
         if timer.kind in (TimerKind.ATTEMPT, TimerKind.GIVE_UP):
-            return isinstance(what, s.Attempt) and what.call.attempt is what
+            return isinstance(subject, s.Attempt) and subject.call.attempt is subject
         if timer.kind is TimerKind.MODULE:
-            return self.token_lives(what)
-        return timer.kind is not TimerKind.DEADLINE or what is not None
+            return self.token_is_live(subject)
+        return timer.kind is not TimerKind.DEADLINE or subject is not None
 
-    def token_lives(self, token: object) -> bool:
-        """Whether a token of the module's is about a call that it still has."""
+    def token_is_live(self, token: object) -> bool:
+        """Whether a token of the module's is about a call_id that it still has."""
         module = self.session.decision_module.controller
-        call = module.timers.get(token) if isinstance(token, int) else None
-        return call is not None and (call == -1 or call in module.calls)
-
-    def _pass_to(self, moment: int) -> None:
-        self.now_us = moment
-        if self.story is not None:
-            self.story.append((moment, None))
-        self.history.time_passed(moment)
+        call_id = module.timers.get(token) if isinstance(token, int) else None
+        return call_id is not None and (call_id == -1 or call_id in module.calls)
+
+    def _advance_to(self, now_us: int) -> None:
+        self.now_us = now_us
+        if self.recording is not None:
+            self.recording.append((now_us, None))
+        self.history.time_passed(now_us)
         for link, (_, due) in list(self.connecting.items()):
-            if due <= moment:
+            if due <= now_us:
                 del self.connecting[link]
-                self._feed(s.ConnectFailed(link, False))
+                self._submit(s.ConnectFailed(link, False))
 
     def _do_tick(self) -> None:
-        """The next moment comes, and the timer that is due runs."""
+        """The next time_us comes, and the timer that is due runs."""
         due = self._next_due()
         assert due is not None
         if due[0] > self.now_us:
-            self._spend()
-            self._pass_to(due[0])
-        self.due_now = False
-        self._feed(s.Tick())
+            self._use_idle_step()
+            self._advance_to(due[0])
+        self.timer_pending = False
+        self._submit(s.Tick())
 
     def _do_due(self) -> None:
-        """The next moment comes, and other things may happen in it before the timer runs."""
+        """The next time_us comes, and other things may happen in it before the timer runs."""
         due = self._next_due()
         assert due is not None
-        self._spend()
-        self._pass_to(due[0])
-        self.due_now = True
+        self._use_idle_step()
+        self._advance_to(due[0])
+        self.timer_pending = True
 
     def _do_between(self) -> None:
         due = self._next_due()
         assert due is not None
-        self._spend()
-        self._pass_to((self.now_us + due[0]) // 2)
+        self._use_idle_step()
+        self._advance_to((self.now_us + due[0]) // 2)
 
-    def _spend(self) -> None:
+    def _use_idle_step(self) -> None:
         if not any(call.awaits_answer for call in self.history.calls.values()):
-            self.idle -= 1
+            self.remaining_idle_steps -= 1
 
     # --- what may happen next ---
 
@@ -306,283 +308,301 @@
         """Every choice there is, in a fixed order; none if nothing more can happen in this scope."""
         if self.history.exited:
             return []
-        found: list[Choice] = []
-        left = {k for k, n in self.left.items() if n > 0}
-        if self.done:
-            left &= AFTER
-        if self.rare <= 0:
-            left &= COMMON
-        callers = [k for k, peer in self.peers.items() if not peer.far]
-        links = {k: peer for k, peer in self.peers.items() if peer.far}
-        self._callers_may(found, left, callers)
+        offered: list[Choice] = []
+        allowed = {k for k, n in self.remaining_budgets.items() if n > 0}
+        if self.only_late_messages_remain:
+            allowed &= LATE_KINDS
+        if self.remaining_rare_choices <= 0:
+            allowed &= COMMON_KINDS
+        callers = [k for k, peer in self.peers.items() if not peer.exchange_id]
+        links = {k: peer for k, peer in self.peers.items() if peer.exchange_id}
+        self._caller_choices(offered, allowed, callers)
         for link, peer in links.items():
-            self._link_may(found, left, link, peer, links)
-        for call, far in self.standing.items():
-            if any(peer.far == far for peer in links.values()):
-                found += [(kind, call) for kind in ("end", "cut") if kind in left]
-        self._world_may(found, left)
-        due = None if self.done else self._next_due()
-        if due is not None and (self.idle > 0 or any(c.awaits_answer for c in self.history.calls.values())):
-            found.append(("tick",))
-            if due[0] > self.now_us and due[1] and self.rare > 1 and not self.due_now:
-                found.append(("due",))
-            if "between" in left and due[0] - self.now_us > 1000:
-                found.append(("between",))
-        return found
-
-    def _callers_may(self, found: list[Choice], left: set[str], callers: list[int]) -> None:
-        open_ = [k for k in callers if not self.peers[k].half_closed]
+            self._link_choices(offered, allowed, link, peer, links)
+        for call_id, exchange_id in self.standing_calls.items():
+            if any(peer.exchange_id == exchange_id for peer in links.values()):
+                offered += [(kind, call_id) for kind in ("end", "cut") if kind in allowed]
+        self._other_choices(offered, allowed)
+        due = None if self.only_late_messages_remain else self._next_due()
+        if due is not None and (
+            self.remaining_idle_steps > 0 or any(c.awaits_answer for c in self.history.calls.values())
+        ):
+            offered.append(("tick",))
+            if due[0] > self.now_us and due[1] and self.remaining_rare_choices > 1 and not self.timer_pending:
+                offered.append(("due",))
+            if "between" in allowed and due[0] - self.now_us > 1000:
+                offered.append(("between",))
+        return offered
+
+    def _caller_choices(self, offered: list[Choice], allowed: set[str], callers: list[int]) -> None:
+        open_callers = [k for k in callers if not self.peers[k].half_closed]
         if self.calls_made < self.scope.calls:
-            found += [("set_up", k) for k in open_]
-        for ident, call in self.history.calls.items():
-            if call.awaits_answer and call.stream in open_ and "give_up" in left:
-                found.append(("give_up", ident))
-            if call.was_answered and not (call.end_sent or call.ended_by_caller_us) and "release" in left:
-                found += [("release", ident, k) for k in open_]
-            if call.final_answers_sent and not call.was_answered and "redial" in left:
-                found += [("redial", ident, k) for k in open_]
-            if call.abandoned or (call.ended_for_caller_us and self.now_us - call.ended_for_caller_us > REMEMBERED_US):
+            offered += [("set_up", k) for k in open_callers]
+        for call_id, call in self.history.calls.items():
+            if call.awaits_answer and call.stream in open_callers and "give_up" in allowed:
+                offered.append(("give_up", call_id))
+            if call.was_answered and not (call.end_sent or call.ended_by_caller_us) and "release" in allowed:
+                offered += [("release", call_id, k) for k in open_callers]
+            if call.final_answers_sent and not call.was_answered and "redial" in allowed:
+                offered += [("redial", call_id, k) for k in open_callers]
+            if call.abandoned or (
+                call.ended_for_caller_us and self.now_us - call.ended_for_caller_us > ID_REUSE_LIMIT_US
+            ):
                 continue
-            if "same_id" in left and call.stream in open_:
-                found.append(("same_id", ident, call.stream))
-            if "other_id" in left:
-                found += [("other_id", ident, k) for k in open_ if k != call.stream]
+            if "same_id" in allowed and call.stream in open_callers:
+                offered.append(("same_id", call_id, call.stream))
+            if "other_id" in allowed:
+                offered += [("other_id", call_id, k) for k in open_callers if k != call.stream]
         for k in callers:
             peer = self.peers[k]
-            if "hang_up" in left:
-                found.append(("hang_up", k))
-            found += self._writes_may(left, k, peer, "stall_caller")
-            if "half" in left and k in open_ and not peer.half:
-                found.append(("half", k))
-            if "whole" in left and peer.half:
-                found.append(("whole", k))
-            if "garble" in left and k in open_:
-                found.append(("garble", k))
-            if "half_close" in left and k in open_:
-                found.append(("half_close", k))
-        if "connect" in left and len(callers) < self.scope.callers and self.taking:
-            found.append(("connect",))
-
-    def _link_may(self, found: list[Choice], left: set[str], link: int, peer: Peer, links: dict[int, Peer]) -> None:
-        far = self.fars.get(peer.far)
-        for ident, asked in peer.asked.items():
-            if not asked.said and not asked.given_up:
-                if "answer" in left:
-                    found.append(("answer", link, ident))
-                if "refuse" in left:
-                    found += [("refuse", link, ident, cause) for cause in self.scope.refusals]
-                if "astray" in left:
-                    found += [("astray", k, ident, link) for k in links if k != link and links[k].far == peer.far]
-            elif not asked.said and "late" in left:
-                found += [("late", link, ident, word) for word in ("answer", "reset")]
-            elif asked.said and "twice" in left:
-                found.append(("twice", link, ident))
-        if "reset" in left and (peer.asked or peer.held):
-            found.append(("reset", link))
-        found += self._writes_may(left, link, peer)
-        if "group" in left and far is not None:
-            found += [("group", link, free) for free in (0, 40)]
+            if "hang_up" in allowed:
+                offered.append(("hang_up", k))
+            offered += self._write_choices(allowed, k, peer, "stall_caller")
+            if "half" in allowed and k in open_callers and not peer.partial:
+                offered.append(("half", k))
+            if "whole" in allowed and peer.partial:
+                offered.append(("whole", k))
+            if "garble" in allowed and k in open_callers:
+                offered.append(("garble", k))
+            if "half_close" in allowed and k in open_callers:
+                offered.append(("half_close", k))
+        if "connect" in allowed and len(callers) < self.scope.callers and self.accepting_callers:
+            offered.append(("connect",))
+
+    def _link_choices(
+        self, offered: list[Choice], allowed: set[str], link: int, peer: Peer, links: dict[int, Peer]
+    ) -> None:
+        exchange = self.simulated_exchanges.get(peer.exchange_id)
+        for call_id, received in peer.set_ups.items():
+            if not received.last_reply and not received.given_up:
+                if "answer" in allowed:
+                    offered.append(("answer", link, call_id))
+                if "refuse" in allowed:
+                    offered += [("refuse", link, call_id, cause) for cause in self.scope.refusals]
+                if "astray" in allowed:
+                    offered += [
+                        ("astray", k, call_id, link)
+                        for k in links
+                        if k != link and links[k].exchange_id == peer.exchange_id
+                    ]
+            elif not received.last_reply and "late" in allowed:
+                offered += [("late", link, call_id, reply) for reply in ("answer", "reset")]
+            elif received.last_reply and "twice" in allowed:
+                offered.append(("twice", link, call_id))
+        if "reset" in allowed and (peer.set_ups or peer.pending_write):
+            offered.append(("reset", link))
+        offered += self._write_choices(allowed, link, peer)
+        if "group" in allowed and exchange is not None:
+            offered += [("group", link, free_circuits) for free_circuits in (0, 40)]
 
     @staticmethod
-    def _writes_may(left: set[str], stream: int, peer: Peer, stall: str = "stall") -> list[Choice]:
-        found: list[Choice] = []
-        if stall in left and not peer.stalled:
-            found.append((stall, stream))
-        if peer.stalled and "through" in left:
-            found.append(("through", stream))
-        if peer.held is not None and not peer.seen and "arrive" in left:
-            found.append(("arrive", stream))
-        return found
-
-    def _world_may(self, found: list[Choice], left: set[str]) -> None:
-        for ident, far in self.fars.items():
-            known = self.history.exchanges.get(ident)
-            told = known is not None and not known.gone
-            kinds = ("ready",) if ident in self.drained else ("drain",)
-            found += [(kind, ident) for kind in (*kinds, "gone", "replaced") if told and kind in left]
-            if "die" in left and far.alive:
-                found.append(("die", ident))
-            if "return" in left and not far.alive and self.now_us > far.died_us:
-                found.append(("return", ident))
-        if self.budgeted:
-            for link, (at, _) in self.connecting.items():
-                alive = at in self.fars and self.fars[at].alive
+    def _write_choices(allowed: set[str], stream: int, peer: Peer, stall: str = "stall") -> list[Choice]:
+        offered: list[Choice] = []
+        if stall in allowed and not peer.stalled:
+            offered.append((stall, stream))
+        if peer.stalled and "through" in allowed:
+            offered.append(("through", stream))
+        if peer.pending_write is not None and not peer.pending_arrived and "arrive" in allowed:
+            offered.append(("arrive", stream))
+        return offered
+
+    def _other_choices(self, offered: list[Choice], allowed: set[str]) -> None:
+        for exchange_id, exchange in self.simulated_exchanges.items():
+            known = self.history.exchanges.get(exchange_id)
+            still_listed = known is not None and not known.gone
+            kinds = ("ready",) if exchange_id in self.draining_exchanges else ("drain",)
+            offered += [
+                (kind, exchange_id) for kind in (*kinds, "gone", "replaced") if still_listed and kind in allowed
+            ]
+            if "die" in allowed and exchange.alive:
+                offered.append(("die", exchange_id))
+            if "return" in allowed and not exchange.alive and self.now_us > exchange.died_us:
+                offered.append(("return", exchange_id))
+        if self.connects_by_choice:
+            for link, (connecting_to, _) in self.connecting.items():
+                alive = connecting_to in self.simulated_exchanges and self.simulated_exchanges[connecting_to].alive
                 if alive:
-                    found.append(("accept", link))
-                if not alive or "refuse_link" in left:
-                    found.append(("refuse_link", link))
-        if "list_twice" in left and self.last is not None:
-            found.append(("list_twice",))
-        if "channel_lost" in left:
-            found.append(("channel_lost",))
-        ended = bool(self.history.sigterm_us)
-        if "lameduck" in left and not self.history.draining:
-            found.append(("lameduck",))
-        if "rejoin" in left and self.history.draining:
-            found.append(("rejoin",))
-        if "sighup" in left:
-            found += [("sighup", name) for name in VARIANTS]
-        if "sigterm" in left and not ended:
-            found.append(("sigterm",))
-        if "succeed" in left and not self.history.successor_serves:
-            found.append(("succeed",))
-        if "unsucceed" in left and self.history.successor_serves:
-            found.append(("unsucceed",))
-        if "inherit" in left:
-            found += [("inherit", ident) for ident in self.fars]
-        if "passed_on" in left:
-            found += [("passed_on", call) for call in self.inherited]
+                    offered.append(("accept", link))
+                if not alive or "refuse_link" in allowed:
+                    offered.append(("refuse_link", link))
+        if "list_twice" in allowed and self.last_update is not None:
+            offered.append(("list_twice",))
+        if "channel_lost" in allowed:
+            offered.append(("channel_lost",))
+        terminating = bool(self.history.sigterm_us)
+        if "lameduck" in allowed and not self.history.draining:
+            offered.append(("lameduck",))
+        if "rejoin" in allowed and self.history.draining:
+            offered.append(("rejoin",))
+        if "sighup" in allowed:
+            offered += [("sighup", name) for name in VARIANTS]
+        if "sigterm" in allowed and not terminating:
+            offered.append(("sigterm",))
+        if "succeed" in allowed and not self.history.successor_serves:
+            offered.append(("succeed",))
+        if "unsucceed" in allowed and self.history.successor_serves:
+            offered.append(("unsucceed",))
+        if "inherit" in allowed:
+            offered += [("inherit", exchange_id) for exchange_id in self.simulated_exchanges]
+        if "passed_on" in allowed:
+            offered += [("passed_on", call_id) for call_id in self.inherited_calls]
 
     # --- callers ---
 
-    def _call_in(self) -> None:
-        stream, self.next_caller = self.next_caller, self.next_caller + 1
+    def _connect_caller(self) -> None:
+        stream, self.next_caller_stream = self.next_caller_stream, self.next_caller_stream + 1
         self.peers[stream] = Peer()
-        self._feed(s.Accepted(stream))
+        self._submit(s.Accepted(stream))
 
-    _do_connect = _call_in
+    _do_connect = _connect_caller
 
-    def _set_up(self, call: int, number: int) -> p.SetUp:
+    def _make_set_up(self, call_id: int, number: int) -> p.SetUp:
         to = 1 + (number - 1) % self.scope.exchanges
         figures = {"dest": to, "width": 1, "via": -1}
-        return p.SetUp(call, CLASS, WAIT_MS, f"{number:016x}", DESCRIPTION, figures, "acme")
+        return p.SetUp(call_id, CLASS_NAME, WAIT_MS, f"{number:016x}", DESCRIPTION, figures, "acme")
 
     def _do_set_up(self, stream: int) -> None:
-        call, self.next_call = self.next_call, self.next_call + 1
+        call_id, self.next_call_id = self.next_call_id, self.next_call_id + 1
         self.calls_made += 1
-        self._feed(s.MessageReceived(stream, self._set_up(call, call)))
+        self._submit(s.MessageReceived(stream, self._make_set_up(call_id, call_id)))
 
-    def _do_redial(self, ident: int, stream: int) -> None:
-        call, self.next_call = self.next_call, self.next_call + 1
-        self._feed(s.MessageReceived(stream, self._set_up(call, int(self.history.calls[ident].set_up.called, 16))))
+    def _do_redial(self, call_id: int, stream: int) -> None:
+        new_call_id, self.next_call_id = self.next_call_id, self.next_call_id + 1
+        self._submit(
+            s.MessageReceived(
+                stream, self._make_set_up(new_call_id, int(self.history.calls[call_id].set_up.called, 16))
+            )
+        )
 
-    def _do_give_up(self, ident: int) -> None:
-        self._feed(s.MessageReceived(self.history.calls[ident].stream, p.Release(ident, p.ReleaseCause.NORMAL)))
+    def _do_give_up(self, call_id: int) -> None:
+        self._submit(s.MessageReceived(self.history.calls[call_id].stream, p.Release(call_id, p.ReleaseCause.NORMAL)))
 
-    def _do_release(self, ident: int, stream: int) -> None:
-        self._feed(s.MessageReceived(stream, p.Release(ident, p.ReleaseCause.NORMAL)))
+    def _do_release(self, call_id: int, stream: int) -> None:
+        self._submit(s.MessageReceived(stream, p.Release(call_id, p.ReleaseCause.NORMAL)))
 
-    def _do_same_id(self, ident: int, stream: int) -> None:
-        self._feed(s.MessageReceived(stream, self.history.calls[ident].set_up))
+    def _do_same_id(self, call_id: int, stream: int) -> None:
+        self._submit(s.MessageReceived(stream, self.history.calls[call_id].set_up))
 
     _do_other_id = _do_same_id
 
     def _do_hang_up(self, stream: int) -> None:
         del self.peers[stream]
-        self._feed(s.ConnectionClosed(stream))
+        self._submit(s.ConnectionClosed(stream))
 
     def _do_half(self, stream: int) -> None:
-        self.peers[stream].half = True
-        self._feed(s.PartialMessage(stream, True))
+        self.peers[stream].partial = True
+        self._submit(s.PartialMessage(stream, True))
 
     def _do_whole(self, stream: int) -> None:
-        self.peers[stream].half = False
-        self._feed(s.PartialMessage(stream, False))
+        self.peers[stream].partial = False
+        self._submit(s.PartialMessage(stream, False))
 
     def _do_garble(self, stream: int) -> None:
         self.peers[stream].half_closed = True
-        self._feed(s.MalformedInput(stream, "no message"))
+        self._submit(s.MalformedInput(stream, "no message"))
 
     def _do_half_close(self, stream: int) -> None:
         self.peers[stream].half_closed = True
-        self._feed(s.EndOfInput(stream))
+        self._submit(s.EndOfInput(stream))
 
     # --- exchanges ---
 
-    def _listed(
-        self, far: SimulatedExchange, state: i.ListState = i.ListState.READY, started: int = 0
+    def _exchange_record(
+        self, exchange: SimulatedExchange, state: i.ListState = i.ListState.READY, started: int = 0
     ) -> p.ExchangeRecord:
-        return p.ExchangeRecord(i.ListEntry(far.ident, far.number, state, started), ("127.0.0.1", far.port))
-
-    def _answer(self, link: int, ident: int) -> p.Answer:
-        far = self.fars[self.peers[link].far]
-        far.answers += 1
-        return p.Answer(ident, b"%d by %d" % (far.answers, far.ident))
-
-    def _do_answer(self, link: int, ident: int) -> None:
-        asked = self.peers[link].asked.pop(ident)
-        asked.said = "answer"
-        self.standing[ident] = self.peers[link].far
-        if "twice" in self.left:
-            self.peers[link].asked[ident] = asked
-        self._feed(s.MessageReceived(link, self._answer(link, ident)))
-
-    def _do_refuse(self, link: int, ident: int, word: str) -> None:
-        asked = self.peers[link].asked.pop(ident)
-        asked.said = word
-        if "twice" in self.left:
-            self.peers[link].asked[ident] = asked
-        cause, note = REFUSALS[word]
-        self._feed(s.MessageReceived(link, p.Release(ident, cause, note)))
-
-    def _do_late(self, link: int, ident: int, word: str) -> None:
-        """A word that crosses the give-up. An answer that crosses it ends again as the give-up comes."""
-        del self.peers[link].asked[ident]
-        if word == "answer":
-            self._feed(s.MessageReceived(link, self._answer(link, ident)))
+        return p.ExchangeRecord(
+            i.ListEntry(exchange.ident, exchange.number, state, started), ("127.0.0.1", exchange.port)
+        )
+
+    def _make_answer(self, link: int, call_id: int) -> p.Answer:
+        exchange = self.simulated_exchanges[self.peers[link].exchange_id]
+        exchange.answers_made += 1
+        return p.Answer(call_id, b"%d by %d" % (exchange.answers_made, exchange.ident))
+
+    def _do_answer(self, link: int, call_id: int) -> None:
+        received = self.peers[link].set_ups.pop(call_id)
+        received.last_reply = "answer"
+        self.standing_calls[call_id] = self.peers[link].exchange_id
+        if "twice" in self.remaining_budgets:
+            self.peers[link].set_ups[call_id] = received
+        self._submit(s.MessageReceived(link, self._make_answer(link, call_id)))
+
+    def _do_refuse(self, link: int, call_id: int, refusal: str) -> None:
+        received = self.peers[link].set_ups.pop(call_id)
+        received.last_reply = refusal
+        if "twice" in self.remaining_budgets:
+            self.peers[link].set_ups[call_id] = received
+        cause, note = REFUSALS[refusal]
+        self._submit(s.MessageReceived(link, p.Release(call_id, cause, note)))
+
+    def _do_late(self, link: int, call_id: int, reply: str) -> None:
+        """A reply that crosses the give-up. An answer that crosses it ends again as the give-up comes."""
+        del self.peers[link].set_ups[call_id]
+        if reply == "answer":
+            self._submit(s.MessageReceived(link, self._make_answer(link, call_id)))
         else:
-            self._feed(s.MessageReceived(link, p.Release(ident, p.ReleaseCause.TEMPORARY_FAILURE)))
+            self._submit(s.MessageReceived(link, p.Release(call_id, p.ReleaseCause.TEMPORARY_FAILURE)))
 
-    def _do_twice(self, link: int, ident: int) -> None:
-        asked = self.peers[link].asked.pop(ident)
-        if asked.said == "answer":
-            self._feed(s.MessageReceived(link, self._answer(link, ident)))
+    def _do_twice(self, link: int, call_id: int) -> None:
+        received = self.peers[link].set_ups.pop(call_id)
+        if received.last_reply == "answer":
+            self._submit(s.MessageReceived(link, self._make_answer(link, call_id)))
         else:
-            cause, note = REFUSALS[asked.said]
-            self._feed(s.MessageReceived(link, p.Release(ident, cause, note)))
+            cause, note = REFUSALS[received.last_reply]
+            self._submit(s.MessageReceived(link, p.Release(call_id, cause, note)))
 
-    def _do_astray(self, link: int, ident: int, right: int) -> None:
+    def _do_astray(self, link: int, call_id: int, right_link: int) -> None:
         """An answer on a link that did not carry the set-up: no exchange does that, and it must count for
         nothing."""
-        self._feed(s.MessageReceived(link, self._answer(right, ident)))
+        self._submit(s.MessageReceived(link, self._make_answer(right_link, call_id)))
 
-    def _do_end(self, call: int, cause: p.ReleaseCause = p.ReleaseCause.NORMAL) -> None:
-        far = self.standing.pop(call)
-        link = next(k for k, peer in self.peers.items() if peer.far == far)
-        self._feed(s.MessageReceived(link, p.Release(call, cause)))
+    def _do_end(self, call_id: int, cause: p.ReleaseCause = p.ReleaseCause.NORMAL) -> None:
+        exchange_id = self.standing_calls.pop(call_id)
+        link = next(k for k, peer in self.peers.items() if peer.exchange_id == exchange_id)
+        self._submit(s.MessageReceived(link, p.Release(call_id, cause)))
 
-    def _do_cut(self, call: int) -> None:
-        self._do_end(call, p.ReleaseCause.TEMPORARY_FAILURE)
+    def _do_cut(self, call_id: int) -> None:
+        self._do_end(call_id, p.ReleaseCause.TEMPORARY_FAILURE)
 
     def _do_reset(self, link: int) -> None:
         del self.peers[link]
-        self._feed(s.ConnectionClosed(link))
+        self._submit(s.ConnectionClosed(link))
 
-    def _do_die(self, ident: int) -> None:
-        self.fars[ident].alive = False
-        self.fars[ident].died_us = self.now_us
-        self.standing = {call: far for call, far in self.standing.items() if far != ident}
-        for link in [k for k, peer in self.peers.items() if peer.far == ident]:
+    def _do_die(self, exchange_id: int) -> None:
+        self.simulated_exchanges[exchange_id].alive = False
+        self.simulated_exchanges[exchange_id].died_us = self.now_us
+        self.standing_calls = {call_id: at for call_id, at in self.standing_calls.items() if at != exchange_id}
+        for link in [k for k, peer in self.peers.items() if peer.exchange_id == exchange_id]:
             if link in self.peers:
                 self._do_reset(link)
 
-    def _do_return(self, ident: int) -> None:
-        self.fars[ident].alive = True
-        self.anew[ident] = self.now_us
+    def _do_return(self, exchange_id: int) -> None:
+        self.simulated_exchanges[exchange_id].alive = True
+        self.unlisted_restarts_us[exchange_id] = self.now_us
 
-    def _do_group(self, link: int, free: int) -> None:
-        self._feed(s.MessageReceived(link, p.GroupState(0, {"spare": free, "total": 40, "allowed": 100.0})))
+    def _do_group(self, link: int, free_circuits: int) -> None:
+        self._submit(s.MessageReceived(link, p.GroupState(0, {"spare": free_circuits, "total": 40, "allowed": 100.0})))
 
     # --- links ---
 
-    def _accept(self, link: int) -> None:
-        far, _ = self.connecting.pop(link)
-        self.peers[link] = Peer(far)
-        self._feed(s.Connected(link))
+    def _accept_link(self, link: int) -> None:
+        exchange_id, _ = self.connecting.pop(link)
+        self.peers[link] = Peer(exchange_id)
+        self._submit(s.Connected(link))
         self._do_group(link, 40)
 
-    def _answer_connect(self, link: int) -> None:
-        far, _ = self.connecting[link]
-        if self.fars[far].alive:
-            self._accept(link)
+    def _complete_connect(self, link: int) -> None:
+        exchange_id, _ = self.connecting[link]
+        if self.simulated_exchanges[exchange_id].alive:
+            self._accept_link(link)
         else:
             self._do_refuse_link(link)
 
-    _do_accept = _accept
+    _do_accept = _accept_link
 
     def _do_refuse_link(self, link: int) -> None:
         del self.connecting[link]
-        self._feed(s.ConnectFailed(link, True))
+        self._submit(s.ConnectFailed(link, True))
 
     # --- writes ---
 
@@ -594,141 +614,149 @@
 
     def _do_arrive(self, stream: int) -> None:
         peer = self.peers[stream]
-        assert peer.held is not None
-        peer.seen = True
+        assert peer.pending_write is not None
+        peer.pending_arrived = True
         self.history.write_arrived(stream)
-        self._reach(stream, peer, peer.held)
+        self._deliver(stream, peer, peer.pending_write)
 
     def _do_through(self, stream: int) -> None:
         peer = self.peers[stream]
         peer.stalled = False
         self.history.stalled_streams.discard(stream)
-        held, peer.held = peer.held, None
-        if held is not None:
-            if not peer.seen:
-                self._reach(stream, peer, held)
-            self._feed(s.WriteCompleted(stream))
+        pending, peer.pending_write = peer.pending_write, None
+        if pending is not None:
+            if not peer.pending_arrived:
+                self._deliver(stream, peer, pending)
+            self._submit(s.WriteCompleted(stream))
 
     # --- the list ---
 
-    def _tell(self, *listed: p.ExchangeRecord) -> None:
-        self.events += 1
-        self.last = p.ListUpdate(self.events, i.ListKind.CHANGES, listed)
-        self._feed(s.ListUpdateReceived(self.last))
+    def _send_list_update(self, *listed: p.ExchangeRecord) -> None:
+        self.last_update_number += 1
+        self.last_update = p.ListUpdate(self.last_update_number, i.ListKind.CHANGES, listed)
+        self._submit(s.ListUpdateReceived(self.last_update))
 
-    def _do_drain(self, ident: int) -> None:
-        self.drained.add(ident)
-        self._tell(self._listed(self.fars[ident], i.ListState.DRAINING))
+    def _do_drain(self, exchange_id: int) -> None:
+        self.draining_exchanges.add(exchange_id)
+        self._send_list_update(self._exchange_record(self.simulated_exchanges[exchange_id], i.ListState.DRAINING))
 
-    def _do_ready(self, ident: int) -> None:
-        self.drained.discard(ident)
-        self._tell(self._listed(self.fars[ident]))
+    def _do_ready(self, exchange_id: int) -> None:
+        self.draining_exchanges.discard(exchange_id)
+        self._send_list_update(self._exchange_record(self.simulated_exchanges[exchange_id]))
 
-    def _do_gone(self, ident: int) -> None:
-        self.drained.discard(ident)
-        self._tell(self._listed(self.fars[ident], i.ListState.GONE))
+    def _do_gone(self, exchange_id: int) -> None:
+        self.draining_exchanges.discard(exchange_id)
+        self._send_list_update(self._exchange_record(self.simulated_exchanges[exchange_id], i.ListState.GONE))
 
-    def _do_replaced(self, ident: int) -> None:
+    def _do_replaced(self, exchange_id: int) -> None:
         """A new exchange at the address of one that has died unseen by the list."""
-        old = self.fars.pop(ident)
-        self.standing = {call: far for call, far in self.standing.items() if far != ident}
-        new = self.fars[self.next_far] = SimulatedExchange(self.next_far, old.number, old.port)
-        self.next_far += 1
-        for link in [k for k, peer in self.peers.items() if peer.far == ident]:
+        old = self.simulated_exchanges.pop(exchange_id)
+        self.standing_calls = {call_id: at for call_id, at in self.standing_calls.items() if at != exchange_id}
+        new = self.simulated_exchanges[self.next_exchange_id] = SimulatedExchange(
+            self.next_exchange_id, old.number, old.port
+        )
+        self.next_exchange_id += 1
+        for link in [k for k, peer in self.peers.items() if peer.exchange_id == exchange_id]:
             if link in self.peers:
                 self._do_reset(link)
-        for link, (far, due) in self.connecting.items():
-            if far == ident:
+        for link, (connecting_to, due) in self.connecting.items():
+            if connecting_to == exchange_id:
                 self.connecting[link] = (new.ident, due)
-        self._tell(self._listed(new, started=self.now_us))
+        self._send_list_update(self._exchange_record(new, started=self.now_us))
 
     def _do_list_twice(self) -> None:
-        assert self.last is not None
-        self._feed(s.ListUpdateReceived(self.last))
+        assert self.last_update is not None
+        self._submit(s.ListUpdateReceived(self.last_update))
 
     def _do_channel_lost(self) -> None:
-        self._feed(s.ChannelLost("reset"))
+        self._submit(s.ChannelLost("reset"))
 
     # --- operators ---
 
     def _do_lameduck(self) -> None:
         self.history.draining = True
-        self._feed(s.AdminRequest(1, o.Command.LAMEDUCK))
+        self._submit(s.AdminRequest(1, o.Command.LAMEDUCK))
 
     def _do_rejoin(self) -> None:
         self.history.draining = False
-        self._feed(s.AdminRequest(1, o.Command.REJOIN))
+        self._submit(s.AdminRequest(1, o.Command.REJOIN))
 
     def _do_sighup(self, name: str) -> None:
-        channel = ("127.0.0.1", 10) if name == "moved" else CHANNEL
-        self._feed(s.Reconfigured((), channel, 1024, replace(VARIANTS[name])))
+        channel = ("127.0.0.1", 10) if name == "moved" else CHANNEL_ADDRESS
+        self._submit(s.Reconfigured((), channel, 1024, replace(VARIANTS[name])))
 
     def _do_sigterm(self) -> None:
-        self._feed(s.Terminate())
+        self._submit(s.Terminate())
 
     def _do_succeed(self) -> None:
-        self._feed(s.SuccessorChanged(True))
+        self._submit(s.SuccessorChanged(True))
 
     def _do_unsucceed(self) -> None:
-        self._feed(s.SuccessorChanged(False))
+        self._submit(s.SuccessorChanged(False))
 
-    def _do_inherit(self, exchange: int) -> None:
-        call, self.next_call = self.next_call, self.next_call + 1
-        self.inherited[call] = self.standing[call] = exchange
-        self._feed(s.CallInherited(call, exchange))
+    def _do_inherit(self, exchange_id: int) -> None:
+        call_id, self.next_call_id = self.next_call_id, self.next_call_id + 1
+        self.inherited_calls[call_id] = self.standing_calls[call_id] = exchange_id
+        self._submit(s.CallInherited(call_id, exchange_id))
 
-    def _do_passed_on(self, call: int) -> None:
-        del self.inherited[call]
-        self._feed(s.ReleaseForwarded(call, int(p.ReleaseCause.NORMAL)))
+    def _do_passed_on(self, call_id: int) -> None:
+        del self.inherited_calls[call_id]
+        self._submit(s.ReleaseForwarded(call_id, int(p.ReleaseCause.NORMAL)))
 
     # --- the end of a path ---
 
     @property
-    def over(self) -> bool:
+    def all_calls_ended(self) -> bool:
         """Whether every call that was made is over at its caller and at its exchange."""
         calls = self.history.calls.values()
-        return not self.standing and not any(c.awaits_answer or (c.was_answered and not c.has_ended) for c in calls)
+        return not self.standing_calls and not any(
+            c.awaits_answer or (c.was_answered and not c.has_ended) for c in calls
+        )
 
     @property
-    def done(self) -> bool:
+    def only_late_messages_remain(self) -> bool:
         """Whether only words can still come that concern nobody: all is over, and no further call can be made."""
-        more = self.calls_made < self.scope.calls
-        more = more or (self.rare > 0 and any(self.left.get(k) for k in AGAIN))
-        held = any(peer.held is not None for peer in self.peers.values())
-        return self.calls_made > 0 and self.over and not more and not held
-
-    def close_out(self) -> None:
+        more_to_come = self.calls_made < self.scope.calls
+        more_to_come = more_to_come or (
+            self.remaining_rare_choices > 0 and any(self.remaining_budgets.get(k) for k in FOLLOW_UP_KINDS)
+        )
+        write_pending = any(peer.pending_write is not None for peer in self.peers.values())
+        return self.calls_made > 0 and self.all_calls_ended and not more_to_come and not write_pending
+
+    def run_to_end(self) -> None:
         """Let everything come to its end: standing calls end, writes are through, time passes. Broken if then
         anything is left."""
-        if self.over and (late := hanging(self.session)):
-            raise PropertyViolation(NOTHING_LEFT.name, NOTHING_LEFT.describe(late) or "")
+        if self.all_calls_ended and (stale := stale_timers(self.session)):
+            raise PropertyViolation(NOTHING_LEFT.name, NOTHING_LEFT.describe(stale) or "")
         for stream in [k for k, peer in self.peers.items() if peer.stalled]:
             if stream in self.peers:
                 self._do_through(stream)
-        for call in list(self.standing):
-            if any(peer.far == self.standing[call] for peer in self.peers.values()):
-                self._do_end(call)
-        for ident, at in self.anew.items():
-            if not self.history.exchanges[ident].gone and ident not in self.drained:
-                self._tell(self._listed(self.fars[ident], started=at))
+        for call_id in list(self.standing_calls):
+            if any(peer.exchange_id == self.standing_calls[call_id] for peer in self.peers.values()):
+                self._do_end(call_id)
+        for exchange_id, returned_us in self.unlisted_restarts_us.items():
+            if not self.history.exchanges[exchange_id].gone and exchange_id not in self.draining_exchanges:
+                self._send_list_update(
+                    self._exchange_record(self.simulated_exchanges[exchange_id], started=returned_us)
+                )
         for _ in range(60):
             if self.history.exited or (due := self._next_due()) is None:
                 break
             for link in list(self.connecting):
-                if self.connecting.get(link, (0, 0))[0] in self.fars:
-                    self._answer_connect(link)
+                if self.connecting.get(link, (0, 0))[0] in self.simulated_exchanges:
+                    self._complete_connect(link)
             if due[0] > self.now_us:
-                self._pass_to(due[0])
-            self._feed(s.Tick())
-            if self.over and self.now_us > START + 3_000_000:
+                self._advance_to(due[0])
+            self._submit(s.Tick())
+            if self.all_calls_ended and self.now_us > START_US + 3_000_000:
                 break
-        for _ in range(END_STEPS):
+        for _ in range(FINAL_STEPS):
             if self.history.exited:
                 break
             for link in list(self.connecting):
-                if self.connecting.get(link, (0, 0))[0] in self.fars:
-                    self._answer_connect(link)
-            self._pass_to(self.now_us + 1_500_000)
-            self._feed(s.Tick())
-        if (wrong := NOTHING_LEFT.describe(remains(self.session, self.history.exited))) is not None:
-            raise PropertyViolation(NOTHING_LEFT.name, wrong)
+                if self.connecting.get(link, (0, 0))[0] in self.simulated_exchanges:
+                    self._complete_connect(link)
+            self._advance_to(self.now_us + 1_500_000)
+            self._submit(s.Tick())
+        if (problem := NOTHING_LEFT.describe(leftovers(self.session, self.history.exited))) is not None:
+            raise PropertyViolation(NOTHING_LEFT.name, problem)
--- a/latchturn/checking/explorer.py
+++ b/latchturn/checking/explorer.py
@@ -23,7 +23,7 @@
 from .scopes import SCOPES
 from .states import fingerprint, load, save
 
-PIECE = 24  # states
+BATCH_SIZE = 24  # states
 
 
 @dataclass(slots=True)
@@ -37,79 +37,79 @@
     ends: int = 0  # states after which nothing more can happen
     seconds: float = 0.0
     exhausted: bool = False
-    broken: str = ""  # property
+    violated: str = ""  # property
     message: str = ""
     choices: tuple[Choice, ...] = ()
     pairs: Pairs = field(default_factory=Counter)
 
 
 @dataclass(slots=True)
-class _Found:
+class _BatchResult:
     """What one worker found of one piece."""
 
     states: list[tuple[int, Choice, bytes, bytes]]  # of which state of the piece, by what choice, what
     transitions: int
     ends: int
-    broken: tuple[int, Choice | None, str, str] | None
+    violation: tuple[int, Choice | None, str, str] | None
     pairs: Pairs
 
 
-_seen: set[bytes] = set()
+_seen_fingerprints: set[bytes] = set()
 
 
-def _expand(piece: list[bytes]) -> _Found:
+def _expand(batch: list[bytes]) -> _BatchResult:
     """Make every choice of every state of a piece. Stops at the first that breaks a property."""
-    found = _Found([], 0, 0, None, Counter())
+    found = _BatchResult([], 0, 0, None, Counter())
     gc.collect()  # once a piece: worlds are full of circles, and looking for them on each step takes most time
     with record(found.pairs):
-        for k, snapshot in enumerate(piece):
+        for k, snapshot in enumerate(batch):
             environment = load(snapshot)
             choices = environment.choices()
             if not choices:
                 found.ends += 1
                 try:
-                    environment.close_out()
+                    environment.run_to_end()
                 except PropertyViolation as broken:
-                    found.broken = found.broken or (k, None, broken.name, broken.message)
+                    found.violation = found.violation or (k, None, broken.name, broken.message)
                     return found
             for choice in choices:
                 found.transitions += 1
                 environment = load(snapshot)
                 try:
-                    environment.do(choice)
+                    environment.apply(choice)
                 except PropertyViolation as broken:
-                    found.broken = (k, choice, broken.name, broken.message)
+                    found.violation = (k, choice, broken.name, broken.message)
                     return found
-                mark = fingerprint(environment)
-                if mark not in _seen:
-                    _seen.add(mark)
-                    found.states.append((k, choice, mark, save(environment)))
+                digest = fingerprint(environment)
+                if digest not in _seen_fingerprints:
+                    _seen_fingerprints.add(digest)
+                    found.states.append((k, choice, digest, save(environment)))
     return found
 
 
 def _prepare(fault: str) -> None:
-    _seen.clear()
+    _seen_fingerprints.clear()
     gc.disable()
     if fault:
         plant(fault)
 
 
-def _pieces(states: list[bytes]) -> Iterator[list[bytes]]:
+def _batches(states: list[bytes]) -> Iterator[list[bytes]]:
     rest = iter(states)
-    while piece := list(islice(rest, PIECE)):
-        yield piece
+    while batch := list(islice(rest, BATCH_SIZE)):
+        yield batch
 
 
-def _work(pipe: Connection, fault: str) -> None:
+def _worker_main(pipe: Connection, fault: str) -> None:
     """A worker: pieces come, what is found goes back."""
-    _seen.clear()
+    _seen_fingerprints.clear()
     gc.disable()
     if fault:
         plant(fault)
     with contextlib.suppress(EOFError, KeyboardInterrupt):
         while True:
             task = pipe.recv()
-            pipe.send(_start(task) if isinstance(task, str) else _expand(task))
+            pipe.send(_initial_state(task) if isinstance(task, str) else _expand(task))
 
 
 class _Workers:
@@ -120,29 +120,29 @@
         self.pipes: list[Connection] = []
         self.processes = []
         for _ in range(jobs):
-            ours, theirs = context.Pipe()
-            process = context.Process(target=_work, args=(theirs, fault), daemon=True)
+            parent_end, worker_end = context.Pipe()
+            process = context.Process(target=_worker_main, args=(worker_end, fault), daemon=True)
             process.start()
-            theirs.close()
-            self.pipes.append(ours)
+            worker_end.close()
+            self.pipes.append(parent_end)
             self.processes.append(process)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         for process, pipe in zip(self.processes, self.pipes):
             process.terminate()
             process.join()
             pipe.close()
 
-    def expand(self, level: list[bytes]) -> Iterator[_Found]:
+    def expand(self, level: list[bytes]) -> Iterator[_BatchResult]:
         """What is found of each piece of a level, in the order of the pieces."""
-        pieces = enumerate(_pieces(level))
-        idle, ready, following = list(self.pipes), dict[int, _Found](), 0
+        batches = enumerate(_batches(level))
+        idle, ready, following = list(self.pipes), dict[int, _BatchResult](), 0
         at: dict[Connection, int] = {}
         while True:
-            while idle and (piece := next(pieces, None)) is not None:
+            while idle and (batch := next(batches, None)) is not None:
                 pipe = idle.pop()
-                at[pipe] = piece[0]
-                pipe.send(piece[1])
+                at[pipe] = batch[0]
+                pipe.send(batch[1])
             if following in ready:
                 yield ready.pop(following)
                 following += 1
@@ -160,17 +160,17 @@
 ) -> Result:  # fmt: skip
     """Follow every path of a scope, for `seconds` at most (0: without end), with a planted fault if one is
     named."""
-    began = time.monotonic()
+    started_s = time.monotonic()
     workers = _Workers(jobs, fault)
     try:
-        result = _explore(workers, scope, began, seconds, progress)
+        result = _explore(workers, scope, started_s, seconds, progress)
     finally:
-        workers.end()
-    result.seconds = time.monotonic() - began
+        workers.stop()
+    result.seconds = time.monotonic() - started_s
     return result
 
 
-def _start(scope: str) -> tuple[bytes, bytes, tuple[str, str] | None]:
+def _initial_state(scope: str) -> tuple[bytes, bytes, tuple[str, str] | None]:
     try:
         environment = Environment(SCOPES[scope])
     except PropertyViolation as broken:
@@ -179,42 +179,42 @@
 
 
 def _explore(
-    workers: _Workers, scope: str, began: float, seconds: float, progress: Callable[[Result], None] | None
+    workers: _Workers, scope: str, started_s: float, seconds: float, progress: Callable[[Result], None] | None
 ) -> Result:
     result = Result(scope)
     workers.pipes[0].send(scope)
-    mark, snapshot, broken = workers.pipes[0].recv()
+    digest, snapshot, broken = workers.pipes[0].recv()
     if broken:
-        result.broken, result.message = broken
+        result.violated, result.message = broken
         return result
     parents: list[tuple[int, Choice]] = [(-1, ())]
-    seen = {mark}
-    level, numbers = [snapshot], [0]
+    seen = {digest}
+    level, state_numbers = [snapshot], [0]
     while level:
         following: list[bytes] = []
-        following_numbers: list[int] = []
+        next_state_numbers: list[int] = []
         for at, found in enumerate(workers.expand(level)):
             result.transitions += found.transitions
             result.ends += found.ends
             result.pairs.update(found.pairs)
-            for k, choice, mark, snapshot in found.states:
-                if mark not in seen:
-                    seen.add(mark)
-                    following_numbers.append(len(parents))
-                    parents.append((numbers[at * PIECE + k], choice))
+            for k, choice, digest, snapshot in found.states:
+                if digest not in seen:
+                    seen.add(digest)
+                    next_state_numbers.append(len(parents))
+                    parents.append((state_numbers[at * BATCH_SIZE + k], choice))
                     following.append(snapshot)
             result.states = len(parents)
-            if found.broken is not None:
+            if found.violation is not None:
                 # What other pieces found of this level does not count: so the counts are the same each time.
-                k, last, result.broken, result.message = found.broken
-                path = _path(parents, numbers[at * PIECE + k])
+                k, last, result.violated, result.message = found.violation
+                path = _path(parents, state_numbers[at * BATCH_SIZE + k])
                 result.choices = path if last is None else (*path, last)
                 return result
-            if seconds and time.monotonic() - began > seconds:
+            if seconds and time.monotonic() - started_s > seconds:
                 return result
         result.depth += bool(following)
-        level, numbers = following, following_numbers
-        result.seconds = time.monotonic() - began
+        level, state_numbers = following, next_state_numbers
+        result.seconds = time.monotonic() - started_s
         if progress is not None:
             progress(result)
     result.exhausted = True
--- a/latchturn/checking/remains.py
+++ b/latchturn/checking/leftovers.py
@@ -9,20 +9,20 @@
 from ..session import Session
 from ..session.timers import TimerKind
 
-OF_CALLS = (TimerKind.DEADLINE, TimerKind.ATTEMPT, TimerKind.GIVE_UP)
+CALL_TIMERS = (TimerKind.DEADLINE, TimerKind.ATTEMPT, TimerKind.GIVE_UP)
 
 
-def remains(session: Session, exited: bool) -> list[str]:
+def leftovers(session: Session, exited: bool) -> list[str]:
     """Each thing that should not be there, in words; of a program that has ended only what it still owed."""
     module = session.decision_module.controller
     found = [f"call {k}" for k in session.calls.by_id]
     if exited:
         return []
     found += [f"call {k} in the module" for k in module.calls]
-    found += [f"a line for destination {k}" for k, line in module.lines.items() if line]
+    found += [f"a line for destination {k}" for k, queue in module.lines.items() if queue]
     found += [f"{len(module.timers)} tokens of the module"] * bool(module.timers)
-    for far in module.exchanges.values():
-        found += [f"{far.out} set-ups counted as out at exchange {far.exchange}"] * bool(far.out)
+    for exchange in module.exchanges.values():
+        found += [f"{exchange.out} set-ups counted as out at exchange {exchange.exchange}"] * bool(exchange.out)
     for number, group in module.groups.items():
         found += [f"circuits of group {number} in use: {group.count}"] * any(group.count)
     found += [f"ended call {k} remembered" for k in session.calls.ended]
@@ -34,12 +34,12 @@
     found += [f"owed calls on caller {c.ident}" for c in session.callers.by_stream.values() if c.unanswered]
     found += [f"attempts on link {k.ident}" for k in session.links.by_stream.values() if k.attempts]
     found += [f"standing calls at {e.ident}" for e in session.exchanges.by_id.values() if e.standing_calls]
-    kinds = [t.kind for _, _, t in session.timers.heap if t.kind in OF_CALLS and t.what is not None]
+    kinds = [t.kind for _, _, t in session.timers.heap if t.kind in CALL_TIMERS and t.what is not None]
     found += [f"a timer {kind.name}" for kind in kinds]
     return found
 
 
-def hanging(session: Session) -> list[str]:
+def stale_timers(session: Session) -> list[str]:
     """Timers that still hold a call or an attempt though every call is over."""
-    kinds = [t.kind for _, _, t in session.timers.heap if t.kind in OF_CALLS and t.what is not None]
+    kinds = [t.kind for _, _, t in session.timers.heap if t.kind in CALL_TIMERS and t.what is not None]
     return [f"a timer {kind.name}" for kind in kinds if not session.calls.by_id]
--- a/latchturn/checking/pairs.py
+++ b/latchturn/checking/pairs.py
@@ -14,22 +14,22 @@
 
 
 @contextmanager
-def record(into: Pairs) -> Iterator[None]:
+def record(counts: Pairs) -> Iterator[None]:
     """Count every move of every machine while this lasts."""
-    go = Machine.go
+    original = Machine.go
 
     def counted(self: Machine[IntEnum, IntEnum], state: IntEnum, move: IntEnum) -> IntEnum:
-        into[self.name, state.name, move.name] += 1
-        return go(self, state, move)
+        counts[self.name, state.name, move.name] += 1
+        return original(self, state, move)
 
     Machine.go = counted  # type: ignore[method-assign,assignment]
     try:
         yield
     finally:
-        Machine.go = go  # type: ignore[method-assign]
+        Machine.go = original  # type: ignore[method-assign]
 
 
-def table(pairs: Pairs) -> list[tuple[Pair, int, str]]:
+def pair_counts(pairs: Pairs) -> list[tuple[Pair, int, str]]:
     """Every pair with how often it was met, and for those that cannot be the reason why."""
     rows = []
     for machine in MACHINES:
@@ -40,6 +40,6 @@
     return rows
 
 
-def unmet(pairs: Pairs) -> list[Pair]:
+def unmet_pairs(pairs: Pairs) -> list[Pair]:
     """The pairs that can be and were not met."""
-    return [pair for pair, count, reason in table(pairs) if not reason and not count]
+    return [pair for pair, count, reason in pair_counts(pairs) if not reason and not count]
--- a/latchturn/checking/plants.py
+++ b/latchturn/checking/plants.py
@@ -41,10 +41,10 @@
 
 
 PLANTED_FAULTS: dict[str, PlantedFault] = {}
-Body = Callable[..., Any]
+Method = Callable[..., Any]
 
 
-def _fault(scope: str, about: str) -> Callable[[Callable[[], None]], Callable[[], None]]:
+def _planted_fault(scope: str, about: str) -> Callable[[Callable[[], None]], Callable[[], None]]:
     def enter(apply: Callable[[], None]) -> Callable[[], None]:
         name = apply.__name__.strip("_").replace("_", "-")
         PLANTED_FAULTS[name] = PlantedFault(name, about, scope, apply)
@@ -53,9 +53,9 @@
     return enter
 
 
-def _change(owner: type, name: str, make: Callable[[Body], Body]) -> None:
+def _replace_method(owner: type, name: str, wrap: Callable[[Method], Method]) -> None:
     """Put something else in the place of a method; `make` is given the one that was there."""
-    setattr(owner, name, make(getattr(owner, name)))
+    setattr(owner, name, wrap(getattr(owner, name)))
 
 
 def plant(name: str) -> None:
@@ -63,411 +63,411 @@
     PLANTED_FAULTS[name].apply()
 
 
-@_fault("mini", "a time-out ends the attempt, and its give-up is not written")
+@_planted_fault("mini", "a time-out ends the attempt, and its give-up is not written")
 def _give_up_not_written() -> None:
-    _change(attempts.Attempts, "timed_out", lambda _: lambda s, a: s.end(a, i.Outcome.TIMED_OUT))
+    _replace_method(attempts.Attempts, "timed_out", lambda _: lambda s, a: s.end(a, i.Outcome.TIMED_OUT))
 
 
-@_fault("mini", "an attempt's time-out is never noticed")
+@_planted_fault("mini", "an attempt's time-out is never noticed")
 def _time_out_missed() -> None:
-    def make(old: Body) -> Body:
-        return lambda s, kind, what: None if kind is TimerKind.ATTEMPT else old(s, kind, what)
+    def wrap(original: Method) -> Method:
+        return lambda s, kind, what: None if kind is TimerKind.ATTEMPT else original(s, kind, what)
 
-    _change(reducer.Session, "_due", make)
+    _replace_method(reducer.Session, "_due", wrap)
 
 
-@_fault("mini", "the module does not wait after an attempt that was reset")
+@_planted_fault("mini", "the module does not wait after an attempt that was reset")
 def _pause_forgotten() -> None:
-    def make(old: Body) -> Body:
+    def wrap(original: Method) -> Method:
         def route(self: Controller, call: Any) -> Any:
             call.not_before = 0
-            return old(self, call)
+            return original(self, call)
 
         return route
 
-    _change(Controller, "_route", make)
+    _replace_method(Controller, "_route", wrap)
 
 
-@_fault("mini", "the pause is counted from the sending, not from the end of the attempt")
+@_planted_fault("mini", "the pause is counted from the sending, not from the end of the attempt")
 def _pause_from_sending() -> None:
-    def make(old: Body) -> Body:
+    def wrap(original: Method) -> Method:
         def changed(self: Controller, call: Any) -> Any:
             if call.not_before:
                 call.not_before = call.sent_us + self.settings.release_us
-            return old(self, call)
+            return original(self, call)
 
         return changed
 
-    _change(Controller, "_route", make)
-    _change(Controller, "_wait", make)
+    _replace_method(Controller, "_route", wrap)
+    _replace_method(Controller, "_wait", wrap)
 
 
-@_fault("mini", "a reset told by the exchange is taken for an ordinary refusal")
+@_planted_fault("mini", "a reset told by the exchange is taken for an ordinary refusal")
 def _reset_taken_for_refusal() -> None:
     exchanges.OUTCOMES[p.ReleaseCause.TEMPORARY_FAILURE] = i.Outcome.NO_LINE
 
 
-@_fault("mini", "a lost link is told as one that was never reached")
+@_planted_fault("mini", "a lost link is told as one that was never reached")
 def _lost_link_harmless() -> None:
-    def make(old: Body) -> Body:
+    def wrap(original: Method) -> Method:
         def end(self: Any, attempt: Any, outcome: i.Outcome, *more: Any, **named: Any) -> Any:
             changed = i.Outcome.UNREACHABLE if outcome is i.Outcome.CUT else outcome
-            return old(self, attempt, changed, *more, **named)
+            return original(self, attempt, changed, *more, **named)
 
         return end
 
-    _change(attempts.Attempts, "end", make)
+    _replace_method(attempts.Attempts, "end", wrap)
 
 
-@_fault("connects", "a drain is seen as the attempt begins, and not as its bytes leave")
+@_planted_fault("connects", "a drain is seen as the attempt begins, and not as its bytes leave")
 def _drain_seen_at_choice() -> None:
-    def make(old: Body) -> Body:
+    def wrap(original: Method) -> Method:
         def leaves(self: Any, attempt: Any) -> Any:
             exchange = self.exchanges.by_id[attempt.link.exchange]
             state, exchange.state = exchange.state, i.ListState.READY
             try:
-                return old(self, attempt)
+                return original(self, attempt)
             finally:
                 exchange.state = state
 
         return leaves
 
-    _change(attempts.Attempts, "as_it_leaves", make)
-    _change(exchanges.Exchanges, "take_back", lambda _: lambda s, exchange: None)
+    _replace_method(attempts.Attempts, "as_it_leaves", wrap)
+    _replace_method(exchanges.Exchanges, "take_back", lambda _: lambda s, exchange: None)
 
 
-@_fault("list", "the list's word that an exchange is gone or drains is passed over")
+@_planted_fault("list", "the list's word that an exchange is gone or drains is passed over")
 def _drain_passed_over() -> None:
-    def make(old: Body) -> Body:
+    def wrap(original: Method) -> Method:
         def told(self: Any, update: Any) -> Any:
             ready = [k for k in update.records if k.entry.state is i.ListState.READY]
-            return old(self, p.ListUpdate(update.number, update.kind, tuple(ready)))
+            return original(self, p.ListUpdate(update.number, update.kind, tuple(ready)))
 
         return told
 
-    _change(exchanges.Exchanges, "list_told", make)
+    _replace_method(exchanges.Exchanges, "list_told", wrap)
 
 
-@_fault("rude", "a set-up under an id that has had its answer is taken as a new call")
+@_planted_fault("rude", "a set-up under an id that has had its answer is taken as a new call")
 def _answered_id_taken() -> None:
-    def make(old: Body) -> Body:
+    def wrap(original: Method) -> Method:
         def asked(self: Any, caller: Any, message: Any, waited_us: int) -> Any:
             self.calls.ended.pop(message.call, None)
-            return old(self, caller, message, waited_us)
+            return original(self, caller, message, waited_us)
 
         return asked
 
-    _change(callers.Callers, "asked", make)
+    _replace_method(callers.Callers, "asked", wrap)
 
 
-@_fault("mini", "a refused call stays in the table and is failed once more at its deadline")
+@_planted_fault("mini", "a refused call stays in the table and is failed once more at its deadline")
 def _refused_call_kept() -> None:
-    def make(old: Body) -> Body:
+    def wrap(original: Method) -> Method:
         def forget(self: Any, call: Any, answered: bool = False) -> Any:
-            return None if answered else old(self, call, answered)
+            return None if answered else original(self, call, answered)
 
         return forget
 
-    _change(calls.Calls, "forget", make)
+    _replace_method(calls.Calls, "forget", wrap)
 
 
-@_fault("mini", "timers are not withdrawn with what they are about")
+@_planted_fault("mini", "timers are not withdrawn with what they are about")
 def _timer_outlives() -> None:
-    _change(timers.Timers, "drop", lambda _: staticmethod(lambda timer: None))
+    _replace_method(timers.Timers, "drop", lambda _: staticmethod(lambda timer: None))
 
 
-@_fault("writes", "a release that was being written as its connection closed is not sent on another")
+@_planted_fault("writes", "a release that was being written as its connection closed is not sent on another")
 def _release_lost_with_connection() -> None:
-    _change(writing.Writing, "unfinished_releases", lambda _: lambda s, stream: [])
+    _replace_method(writing.Writing, "unfinished_releases", lambda _: lambda s, stream: [])
 
 
-@_fault("rude", "a release that finds no caller's connection is dropped")
+@_planted_fault("rude", "a release that finds no caller's connection is dropped")
 def _release_not_kept() -> None:
-    def make(old: Body) -> Body:
+    def wrap(original: Method) -> Method:
         def release(self: Any, preferred: int, message: Any) -> Any:
-            return old(self, preferred, message) if self.callers.by_stream else None
+            return original(self, preferred, message) if self.callers.by_stream else None
 
         return release
 
-    _change(end_notices.EndNotices, "send", make)
+    _replace_method(end_notices.EndNotices, "send", wrap)
 
 
-@_fault("mini", "the module's timers are not set, and an overdue call is not failed")
+@_planted_fault("mini", "the module's timers are not set, and an overdue call is not failed")
 def _waits_for_ever() -> None:
-    def make(old: Body) -> Body:
+    def wrap(original: Method) -> Method:
         def put(self: Any, delay_us: int, kind: TimerKind, what: object = None) -> Any:
             far = kind in (TimerKind.MODULE, TimerKind.DEADLINE)
-            return old(self, delay_us + (10_000_000 if far else 0), kind, what)
+            return original(self, delay_us + (10_000_000 if far else 0), kind, what)
 
         return put
 
-    _change(timers.Timers, "set", make)
+    _replace_method(timers.Timers, "set", wrap)
 
 
-@_fault("tries", "the module counts no attempt as the last")
+@_planted_fault("tries", "the module counts no attempt as the last")
 def _attempts_not_counted() -> None:
-    _change(Controller, "_used_up", lambda _: lambda s, call: False)
+    _replace_method(Controller, "_used_up", lambda _: lambda s, call: False)
 
 
-@_fault("two", "a refusal is held back until the caller's wait is nearly over")
+@_planted_fault("two", "a refusal is held back until the caller's wait is nearly over")
 def _refusal_held_back() -> None:
-    def make(old: Body) -> Body:
+    def wrap(original: Method) -> Method:
         def final(self: Any, ident: int, message: Any) -> Any:
             if getattr(message, "cause", 0) == p.ReleaseCause.CONGESTION:
                 return None
-            return old(self, ident, message)
+            return original(self, ident, message)
 
         return final
 
-    _change(calls.Calls, "final", make)
+    _replace_method(calls.Calls, "final", wrap)
 
 
-@_fault("mini", "the number called is passed on changed")
+@_planted_fault("mini", "the number called is passed on changed")
 def _number_changed() -> None:
-    def make(old: Body) -> Body:
+    def wrap(original: Method) -> Method:
         def leaves(self: Any, attempt: Any) -> Any:
-            m = old(self, attempt)
+            m = original(self, attempt)
             return m and p.SetUp(m.call, m.class_name, m.wait_ms, m.called[::-1], m.description)
 
         return leaves
 
-    _change(attempts.Attempts, "as_it_leaves", make)
+    _replace_method(attempts.Attempts, "as_it_leaves", wrap)
 
 
-@_fault("mini", "each attempt is promised the caller's whole wait")
+@_planted_fault("mini", "each attempt is promised the caller's whole wait")
 def _whole_wait_promised() -> None:
-    def make(old: Body) -> Body:
+    def wrap(original: Method) -> Method:
         def leaves(self: Any, attempt: Any) -> Any:
-            m = old(self, attempt)
+            m = original(self, attempt)
             whole = attempt.call.set_up.wait_ms
             return m and p.SetUp(m.call, m.class_name, whole, m.called, m.description)
 
         return leaves
 
-    _change(attempts.Attempts, "as_it_leaves", make)
+    _replace_method(attempts.Attempts, "as_it_leaves", wrap)
 
 
 def _any_link() -> None:
-    def make(old: Body) -> Body:
+    def wrap(original: Method) -> Method:
         def heard(self: Any, link: Any, message: Any) -> Any:
             call = self.calls.by_id.get(message.call)
             if call is not None and call.attempt is not None and call.attempt.sent:
                 link = call.attempt.link
-            return old(self, link, message)
+            return original(self, link, message)
 
         return heard
 
-    _change(exchanges.Exchanges, "heard", make)
+    _replace_method(exchanges.Exchanges, "heard", wrap)
 
 
-@_fault("strays", "a word on any link counts for the attempt that is out")
+@_planted_fault("strays", "a word on any link counts for the attempt that is out")
 def _word_on_any_link() -> None:
     _any_link()
 
 
-@_fault("strays", "an answer that no attempt waits for is passed on if its call is open")
+@_planted_fault("strays", "an answer that no attempt waits for is passed on if its call is open")
 def _late_answer_passed_on() -> None:
-    def make(old: Body) -> Body:
+    def wrap(original: Method) -> Method:
         def answered(self: Any, exchange: Any, link: Any, answer: Any, attempt: Any) -> Any:
             if attempt is None and answer.call in self.calls.by_id:
                 self.calls.final(answer.call, p.Answer(answer.call, answer.description))
                 return None
-            return old(self, exchange, link, answer, attempt)
+            return original(self, exchange, link, answer, attempt)
 
         return answered
 
-    _change(exchanges.Exchanges, "answered", make)
+    _replace_method(exchanges.Exchanges, "answered", wrap)
 
 
-@_fault("mini", "a caller that gives up is forgotten without a word to the exchange")
+@_planted_fault("mini", "a caller that gives up is forgotten without a word to the exchange")
 def _cancel_not_told() -> None:
-    def make(old: Body) -> Body:
+    def wrap(original: Method) -> Method:
         def leave(self: Any, call: Any) -> Any:
             queue, self.writing.queue = self.writing.queue, lambda *_: None
             try:
-                return old(self, call)
+                return original(self, call)
             finally:
                 self.writing.queue = queue
 
         return leave
 
-    _change(calls.Calls, "leave", make)
+    _replace_method(calls.Calls, "leave", wrap)
 
 
-@_fault("mini", "the calls of a connection that closes are not given up")
+@_planted_fault("mini", "the calls of a connection that closes are not given up")
 def _hang_up_passed_over() -> None:
-    def make(old: Body) -> Body:
+    def wrap(original: Method) -> Method:
         def lose(self: Any, caller: Any) -> Any:
             caller.unanswered = set()
-            return old(self, caller)
+            return original(self, caller)
 
         return lose
 
-    _change(callers.Callers, "lose", make)
+    _replace_method(callers.Callers, "lose", wrap)
 
 
-@_fault("mini", "a standing call that its caller ends is not released at its exchange")
+@_planted_fault("mini", "a standing call that its caller ends is not released at its exchange")
 def _end_not_passed_on() -> None:
-    _change(exchanges.Exchanges, "release", lambda _: lambda s, exchange, message: None)
+    _replace_method(exchanges.Exchanges, "release", lambda _: lambda s, exchange, message: None)
 
 
-@_fault("list", "calls that stood at an exchange that has gone are ended without a word to their callers")
+@_planted_fault("list", "calls that stood at an exchange that has gone are ended without a word to their callers")
 def _cut_not_told() -> None:
-    def make(old: Body) -> Body:
+    def wrap(original: Method) -> Method:
         def cut(self: Any, *what: Any) -> Any:
             release, self.end_notices.send = self.end_notices.send, lambda *_: None
             try:
-                return old(self, *what)
+                return original(self, *what)
             finally:
                 self.end_notices.send = release
 
         return cut
 
-    _change(calls.Calls, "cut", make)
+    _replace_method(calls.Calls, "cut", wrap)
 
 
-@_fault("settings", "a drain closes connections though calls wait on them")
+@_planted_fault("settings", "a drain closes connections though calls wait on them")
 def _drain_closes_busy() -> None:
-    def make(old: Body) -> Body:
+    def wrap(original: Method) -> Method:
         def send_away(self: Any) -> Any:
             for caller in self.callers.by_stream.values():
                 self.core.effects.append(Close(caller.ident))
-            return old(self)
+            return original(self)
 
         return send_away
 
-    _change(phases.Phases, "send_away", make)
+    _replace_method(phases.Phases, "send_away", wrap)
 
 
-@_fault("operators", "after SIGTERM the program ends though calls are open")
+@_planted_fault("operators", "after SIGTERM the program ends though calls are open")
 def _ends_too_soon() -> None:
-    _change(phases.Phases, "closed_for_the_end", lambda _: lambda s: s.core.now > s.term_us)
+    _replace_method(phases.Phases, "closed_for_the_end", lambda _: lambda s: s.core.now > s.term_us)
 
 
-@_fault("operators", "after SIGTERM the program waits for ever")
+@_planted_fault("operators", "after SIGTERM the program waits for ever")
 def _never_ends() -> None:
-    _change(phases.Phases, "finished", lambda _: lambda s: False)
+    _replace_method(phases.Phases, "finished", lambda _: lambda s: False)
 
 
-@_fault("operators", "a process that ends does not tell its successor which calls stand")
+@_planted_fault("operators", "a process that ends does not tell its successor which calls stand")
 def _nothing_bequeathed() -> None:
-    def make(old: Body) -> Body:
+    def wrap(original: Method) -> Method:
         def go_on(self: Any) -> Any:
-            old(self)
+            original(self)
             self.core.effects[:] = [e for e in self.core.effects if type(e).__name__ != "HandOverCalls"]
 
         return go_on
 
-    _change(phases.Phases, "go_on", make)
+    _replace_method(phases.Phases, "go_on", wrap)
 
 
-@_fault("mini", "links are opened to the port beside the one that is listed")
+@_planted_fault("mini", "links are opened to the port beside the one that is listed")
 def _wrong_address() -> None:
-    def make(old: Body) -> Body:
+    def wrap(original: Method) -> Method:
         def connect(self: Any, exchange: Any, slot: int) -> Any:
             right = exchange.address
             exchange.address = (right[0], right[1] + 1)
             try:
-                return old(self, exchange, slot)
+                return original(self, exchange, slot)
             finally:
                 exchange.address = right
 
         return connect
 
-    _change(links.Links, "connect", make)
+    _replace_method(links.Links, "connect", wrap)
 
 
-@_fault("writes", "an attempt is ended again when its give-up is through")
+@_planted_fault("writes", "an attempt is ended again when its give-up is through")
 def _ended_twice() -> None:
-    def make(old: Body) -> Body:
+    def wrap(original: Method) -> Method:
         def wrote(self: Any, ident: int) -> Any:
             stream = self.links.by_stream.get(ident)
             due = [x.attempt for x in stream.in_flight if hasattr(x, "attempt")] if stream else []
-            old(self, ident)
+            original(self, ident)
             for attempt in due:
                 self.attempts.give_back(attempt)
 
         return wrote
 
-    _change(writing.Writing, "wrote", make)
+    _replace_method(writing.Writing, "wrote", wrap)
 
 
-@_fault("mini", "what is owed on a connection is not struck off as a call is forgotten")
+@_planted_fault("mini", "what is owed on a connection is not struck off as a call is forgotten")
 def _owed_not_struck_off() -> None:
-    def make(old: Body) -> Body:
+    def wrap(original: Method) -> Method:
         def forget(self: Any, call: Any, answered: bool = False) -> Any:
             owed = self.callers.by_stream.pop(call.caller_stream, None)
             try:
-                return old(self, call, answered)
+                return original(self, call, answered)
             finally:
                 if owed is not None:
                     self.callers.by_stream[call.caller_stream] = owed
 
         return forget
 
-    _change(calls.Calls, "forget", make)
+    _replace_method(calls.Calls, "forget", wrap)
 
 
-@_fault("mini", "the module is not told that a caller has left")
+@_planted_fault("mini", "the module is not told that a caller has left")
 def _module_not_told() -> None:
-    def make(old: Body) -> Body:
-        return lambda s, event: None if isinstance(event, i.CallerLeft) else old(s, event)
+    def wrap(original: Method) -> Method:
+        return lambda s, event: None if isinstance(event, i.CallerLeft) else original(s, event)
 
-    _change(decision_module.DecisionModule, "decide", make)
+    _replace_method(decision_module.DecisionModule, "decide", wrap)
 
 
-@_fault("calls", "final answers go to the connection that spoke last")
+@_planted_fault("calls", "final answers go to the connection that spoke last")
 def _answer_to_another() -> None:
-    def make(old: Body) -> Body:
+    def wrap(original: Method) -> Method:
         def final(self: Any, ident: int, message: Any) -> Any:
             if (call := self.by_id.get(ident)) is not None and call.standing_exchange is None:
                 call.caller_stream = max(self.callers.by_stream, default=call.caller_stream)
-            return old(self, ident, message)
+            return original(self, ident, message)
 
         return final
 
-    _change(calls.Calls, "final", make)
+    _replace_method(calls.Calls, "final", wrap)
 
 
-@_fault("list", "an exchange that drains is taken for one that is ready")
+@_planted_fault("list", "an exchange that drains is taken for one that is ready")
 def _drain_taken_for_ready() -> None:
-    def make(old: Body) -> Body:
+    def wrap(original: Method) -> Method:
         def told(self: Any, update: Any) -> Any:
             for listed in update.records:
                 if listed.entry.state is i.ListState.DRAINING:
                     listed.entry.state = i.ListState.READY
-            return old(self, update)
+            return original(self, update)
 
         return told
 
-    _change(exchanges.Exchanges, "list_told", make)
+    _replace_method(exchanges.Exchanges, "list_told", wrap)
 
 
-@_fault("mini", "an answer is passed on twice")
+@_planted_fault("mini", "an answer is passed on twice")
 def _answered_twice() -> None:
-    def make(old: Body) -> Body:
+    def wrap(original: Method) -> Method:
         def final(self: Any, ident: int, message: Any) -> Any:
             call = self.by_id.get(ident)
             owed = call is not None and call.standing_exchange is None
-            old(self, ident, message)
+            original(self, ident, message)
             if owed and isinstance(message, p.Answer):
                 self.writing.queue(self.callers.by_stream[call.caller_stream], message)
 
         return final
 
-    _change(calls.Calls, "final", make)
+    _replace_method(calls.Calls, "final", wrap)
 
 
-@_fault("strays", "a refusal on any link ends the attempt that is out")
+@_planted_fault("strays", "a refusal on any link ends the attempt that is out")
 def _refusal_on_any_link() -> None:
-    def make(old: Body) -> Body:
+    def wrap(original: Method) -> Method:
         def heard(self: Any, link: Any, message: Any) -> Any:
             call = self.calls.by_id.get(message.call)
             refusal = isinstance(message, p.Release)
             if refusal and call is not None and call.attempt is not None and call.attempt.sent:
                 link = call.attempt.link
-            return old(self, link, message)
+            return original(self, link, message)
 
         return heard
 
-    _change(exchanges.Exchanges, "heard", make)
+    _replace_method(exchanges.Exchanges, "heard", wrap)
--- a/latchturn/checking/reached.py
+++ b/latchturn/checking/reached.py
@@ -8,14 +8,14 @@
 from .scopes import EXHAUSTIVE
 from .walks import walk
 
-HERE = Path(__file__).parent.parent / "session"
+SESSION_FOLDER = Path(__file__).parent.parent / "session"
 
 
-def missed(walks: int, steps: int) -> dict[str, list[int]]:
+def unreached_lines(walks: int, steps: int) -> dict[str, list[int]]:
     """For each file of the reducer the lines that no path reached: `walks` of `steps` choices in every scope."""
     import coverage  # a tool of its own: nothing else here needs it
 
-    tracer = coverage.Coverage(include=[os.fspath(HERE / "*.py")], data_file=None)
+    tracer = coverage.Coverage(include=[os.fspath(SESSION_FOLDER / "*.py")], data_file=None)
     tracer.start()
     try:
         for scope in (*EXHAUSTIVE, "wide"):
@@ -24,7 +24,7 @@
     finally:
         tracer.stop()
     found = {}
-    for path in sorted(HERE.glob("*.py")):
+    for path in sorted(SESSION_FOLDER.glob("*.py")):
         _, _, _, lines, _ = tracer.analysis2(os.fspath(path))
         found[f"session/{path.name}"] = sorted(lines)
     return found
--- a/latchturn/checking/scopes.py
+++ b/latchturn/checking/scopes.py
@@ -11,19 +11,19 @@
 
 from .. import interface as i
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 SETTINGS = i.Settings(
-    classes=(i.CallClass("premium-quote", 1.0, 0.1, 600_000, 900_000, 1, 3 * SECOND),),
+    classes=(i.CallClass("premium-quote", 1.0, 0.1, 600_000, 900_000, 1, 3 * SECOND_US),),
     topology=i.Topology.MESH, own_number=0, controllers=2, max_attempts=4, release_us=120_000, drain_grace_us=50_000,
     cold_start_share=0.29, warm_up_us=400_000, collapse_multiple=2.5, collapse_us=200_000, connect_timeout_us=100_000,
     list_on_request=False, ask_within_us=0, max_retry_after_us=200_000, resend_us=0, tenants=("acme",),
 )  # fmt: skip
 WAIT_MS = 900
 # What the settings become at SIGHUP, by the variant's name.
-OTHER = i.CallClass("renewal", 1.0, 0.1, 600_000, 900_000, 1, 3 * SECOND)
+OTHER_CLASS = i.CallClass("renewal", 1.0, 0.1, 600_000, 900_000, 1, 3 * SECOND_US)
 VARIANTS = {
     "fewer": replace(SETTINGS, max_attempts=1),
-    "vanished": replace(SETTINGS, classes=(OTHER,)),
+    "vanished": replace(SETTINGS, classes=(OTHER_CLASS,)),
     "moved": SETTINGS,  # the command channel has another address
 }
 
@@ -40,43 +40,43 @@
     budgets: dict[str, int] = field(default_factory=dict)
     refusals: tuple[str, ...] = ()
     callers: int = 1  # connections of callers
-    rare: int = 2  # choices on one path that are not of the common kinds
-    idle_moments: int = 1  # moments that pass while no answer is owed
-    replaces: bool = False  # whether the program starts beside one that serves
-    begin: tuple[str, ...] = ()  # kinds among which the first choice is; all if none is named
+    rare_choices: int = 2  # choices on one path that are not of the common kinds
+    idle_steps: int = 1  # moments that pass while no answer is owed
+    starts_beside_another: bool = False  # whether the program starts beside one that serves
+    first_kinds: tuple[str, ...] = ()  # kinds among which the first choice is; all if none is named
     leaves_out: str = ""
 
 
-_ALL = [
+_ALL_SCOPES = [
     Scope(
         "mini", "one exchange, one call: the smallest world in which most properties can be broken",
         1, 1, {"answer": 9, "refuse": 5, "reset": 1, "end": 1, "late": 1, "give_up": 1, "release": 1,
                "hang_up": 1},
-        ("reset", "full"), rare=1,
+        ("reset", "full"), rare_choices=1,
         leaves_out="tandems, the list, operators, slow writes, more than one rare thing",
     ),
     Scope(
         "tries", "two exchanges that turn every attempt away at once",
-        2, 1, {"answer": 9, "refuse": 9}, ("full", "error"), rare=0,
+        2, 1, {"answer": 9, "refuse": 9}, ("full", "error"), rare_choices=0,
         leaves_out="all that is rare",
     ),
     Scope(
         "two", "two exchanges, one call, four attempts: every way in which attempts end, and a late word",
         2, 1, {"answer": 9, "refuse": 5, "reset": 1, "end": 1, "late": 1, "give_up": 1, "release": 1,
                "drain": 1},
-        ("reset", "full", "error"), rare=2,
+        ("reset", "full", "error"), rare_choices=2,
         leaves_out="slow writes, dying exchanges, operators, a second connection, moments between timers",
     ),
     Scope(
         "three", "three exchanges, one call: tandems, the list and deaths",
         3, 1, {"answer": 9, "refuse": 3, "reset": 1, "end": 1, "drain": 1, "gone": 1, "die": 1},
-        ("reset", "turned_back"), rare=1,
+        ("reset", "turned_back"), rare_choices=1,
         leaves_out="a caller that gives up, slow writes, operators, return of a dead exchange",
     ),
     Scope(
         "calls", "two exchanges, two calls on two connections: ids, releases and connections that cross",
         2, 2, {"answer": 9, "end": 2, "give_up": 1, "release": 1, "reset": 1, "hang_up": 1},
-        callers=2, rare=1,
+        callers=2, rare_choices=1,
         leaves_out="refusals, the list, operators, late words, slow writes, more than one rare thing",
     ),
     Scope(
@@ -84,59 +84,59 @@
         1, 1, {"answer": 9, "refuse": 1, "stall": 1, "stall_caller": 1, "arrive": 1, "through": 4, "give_up": 1,
                "late": 1,
                "reset": 1, "drain": 1, "hang_up": 1, "end": 1},
-        ("reset",), callers=2, rare=2, leaves_out="more than one stall, a second call",
+        ("reset",), callers=2, rare_choices=2, leaves_out="more than one stall, a second call",
     ),
     Scope(
         "list", "the list: drains in the pause, new ids at an old address, events twice, a broken channel",
         2, 1, {"answer": 9, "refuse": 2, "drain": 1, "ready": 1, "gone": 1, "replaced": 1, "list_twice": 1,
                "channel_lost": 1, "reset": 1, "end": 1},
-        ("reset",), rare=2, leaves_out="dying processes, operators",
+        ("reset",), rare_choices=2, leaves_out="dying processes, operators",
     ),
     Scope(
         "deaths", "exchanges that die, refuse, stay silent and return, with a call out or standing",
         1, 1, {"answer": 9, "refuse": 1, "die": 1, "return": 1, "refuse_link": 1, "accept": 9,
                "end": 1, "drain": 1},
-        ("full",), rare=2, leaves_out="new ids, callers that give up, group states",
+        ("full",), rare_choices=2, leaves_out="new ids, callers that give up, group states",
     ),
     Scope(
         "connects", "a link that comes up late, is refused or stays silent while an attempt waits for it",
         1, 1, {"answer": 9, "refuse": 2, "refuse_link": 1, "accept": 9, "drain": 1, "between": 1, "give_up": 1},
-        ("full",), rare=2, leaves_out="deaths, new ids, slow writes",
+        ("full",), rare_choices=2, leaves_out="deaths, new ids, slow writes",
     ),
     Scope(
         "operators", "SIGTERM and a successor that comes and goes, round one call",
         1, 1, {"answer": 9, "refuse": 1, "reset": 1, "end": 1, "sigterm": 1, "succeed": 1, "unsucceed": 1},
-        ("reset",), rare=2, idle_moments=24, leaves_out="drains and new settings, the list, slow writes",
+        ("reset",), rare_choices=2, idle_steps=24, leaves_out="drains and new settings, the list, slow writes",
     ),
     Scope(
         "settings", "drain, rejoin and new settings, round one call and its redial",
         1, 1, {"answer": 9, "refuse": 2, "reset": 1, "end": 1, "lameduck": 1, "rejoin": 1, "sighup": 1,
                "redial": 1},
-        ("reset",), rare=2, idle_moments=3, leaves_out="SIGTERM, the list, late words, slow writes",
+        ("reset",), rare_choices=2, idle_steps=3, leaves_out="SIGTERM, the list, late words, slow writes",
     ),
     Scope(
         "succession", "a process that starts beside one that serves, takes over and inherits a call",
         1, 1, {"answer": 9, "refuse": 1, "inherit": 1, "end": 2, "release": 1, "passed_on": 1, "group": 1,
                "sigterm": 1, "reset": 1},
-        ("full",), rare=2, replaces=True, leaves_out="the list, late words, slow writes",
+        ("full",), rare_choices=2, starts_beside_another=True, leaves_out="the list, late words, slow writes",
     ),
     Scope(
         "rude", "callers that use ids again, hang up and come again",
         1, 1, {"answer": 9, "refuse": 1, "same_id": 2, "other_id": 1, "hang_up": 2, "end": 1, "release": 1,
                "redial": 1, "connect": 1},
-        ("reset",), callers=1, rare=2, idle_moments=6, leaves_out="the list, operators, slow writes",
+        ("reset",), callers=1, rare_choices=2, idle_steps=6, leaves_out="the list, operators, slow writes",
     ),
     Scope(
         "broken", "callers that send half a message or garbage, or close one side",
         1, 1, {"answer": 9, "refuse": 1, "half": 1, "whole": 1, "garble": 1, "half_close": 1, "hang_up": 1,
                "end": 1, "connect": 1},
-        ("reset",), callers=1, rare=2, idle_moments=6, leaves_out="the list, operators, slow writes",
+        ("reset",), callers=1, rare_choices=2, idle_steps=6, leaves_out="the list, operators, slow writes",
     ),
     Scope(
         "strays", "exchanges that say things late, twice and on another link",
         1, 1, {"answer": 9, "refuse": 2, "late": 2, "twice": 2, "astray": 1, "end": 1, "give_up": 1,
                "reset": 1},
-        ("reset", "full"), rare=2, leaves_out="the list, operators, slow writes",
+        ("reset", "full"), rare_choices=2, leaves_out="the list, operators, slow writes",
     ),
     Scope(
         "wide", "for random walks alone: five exchanges, thirty calls and everything",
@@ -146,9 +146,10 @@
              "redial", "drain", "ready", "gone", "replaced", "list_twice", "channel_lost", "die", "return",
              "refuse_link", "silent_link", "accept", "group", "stall", "arrive", "through", "lameduck", "rejoin",
              "same_id", "other_id", "half", "whole", "half_close", "connect", "between"), 10_000),
-        ("reset", "full", "error", "turned_back", "busy", "overload"), callers=4, rare=1 << 30, idle_moments=1 << 30,
+        ("reset", "full", "error", "turned_back", "busy", "overload"), callers=4, rare_choices=1 << 30,
+        idle_steps=1 << 30,
         leaves_out="SIGTERM and a successor, after which little is left to happen",
     ),
 ]  # fmt: skip
-SCOPES = {scope.name: scope for scope in _ALL}
+SCOPES = {scope.name: scope for scope in _ALL_SCOPES}
 EXHAUSTIVE = tuple(name for name in SCOPES if name != "wide")
--- a/latchturn/checking/states.py
+++ b/latchturn/checking/states.py
@@ -24,17 +24,17 @@
 from ..session.component import Component
 from ..session.core import Core
 from ..session.timers import Timers
-from .environment import MOMENT, Environment, MedianRandom
+from .environment import TIME_THRESHOLD_US, Environment, MedianRandom
 from .history import History
 from .scopes import SCOPES, SETTINGS, VARIANTS, Scope
 
-_MIDDLE = MedianRandom()
-_KEPT: tuple[object, ...] = (_MIDDLE, SETTINGS, *SETTINGS.classes, *VARIANTS.values())
-_KEPT_AT = {id(kept): k for k, kept in enumerate(_KEPT)}
+_MEDIAN_RANDOM = MedianRandom()
+_SHARED: tuple[object, ...] = (_MEDIAN_RANDOM, SETTINGS, *SETTINGS.classes, *VARIANTS.values())
+_SHARED_INDEX = {id(shared): k for k, shared in enumerate(_SHARED)}
 
 
-def _kept(index: int) -> object:
-    return _KEPT[index]
+def _shared(index: int) -> object:
+    return _SHARED[index]
 
 
 def _scope(name: str) -> Scope:
@@ -42,13 +42,13 @@
 
 
 def _reduce(value: Any) -> Any:
-    at = _KEPT_AT.get(id(value))
-    return value.__reduce_ex__(2) if at is None else (_kept, (at,))
+    at = _SHARED_INDEX.get(id(value))
+    return value.__reduce_ex__(2) if at is None else (_shared, (at,))
 
 
-_TABLE: dict[type, Callable[[Any], Any]] = {
+_REDUCERS: dict[type, Callable[[Any], Any]] = {
     **copyreg.dispatch_table, i.Settings: _reduce, i.CallClass: _reduce, Scope: lambda s: (_scope, (s.name,)),
-    MedianRandom: lambda _: (_kept, (0,)),
+    MedianRandom: lambda _: (_shared, (0,)),
 }  # fmt: skip
 
 
@@ -56,7 +56,7 @@
     """A snapshot of a world."""
     buffer = io.BytesIO()
     pickler = pickle.Pickler(buffer, 5)
-    pickler.dispatch_table = _TABLE
+    pickler.dispatch_table = _REDUCERS
     pickler.dump(environment)
     return buffer.getvalue()
 
@@ -70,7 +70,7 @@
 
 # --- fingerprints ---
 
-_LEFT_OUT: dict[type, frozenset[str]] = {
+_EXCLUDED: dict[type, frozenset[str]] = {
     Core: frozenset(("counters", "effects", "random", "now", "trace")),
     Controller: frozenset(
         (
@@ -90,76 +90,83 @@
     # What settings are in use says the rest; the classes before end with their callers' patience.
     Classes: frozenset(("served", "settings", "by_name", "tenants", "before")),
     History: frozenset(("now_us", "notify")),
-    Environment: frozenset(("scope", "now_us", "session", "story")),
+    Environment: frozenset(("scope", "now_us", "session", "recording")),
 }
-_SIMPLE = (str, bytes, type(None), bool, float)
-_FIELDS: dict[type, tuple[str, ...]] = {}
+_PLAIN_TYPES = (str, bytes, type(None), bool, float)
+_FIELD_CACHE: dict[type, tuple[str, ...]] = {}
 
 
-def _fields(kind: type) -> tuple[str, ...]:
+def _included_slots(kind: type) -> tuple[str, ...]:
     names = [n for base in reversed(kind.__mro__) for n in base.__dict__.get("__slots__", ())]
-    return tuple(n for n in names if n not in _LEFT_OUT.get(kind, ()))
+    return tuple(n for n in names if n not in _EXCLUDED.get(kind, ()))
 
 
-class _Walk:
+class _Encoder:
     """One walk over a state."""
 
     def __init__(self, now_us: int) -> None:
         self.now_us = now_us
-        self.met: dict[int, int] = {}
+        self.seen: dict[int, int] = {}
 
-    def of(self, value: Any) -> Any:
+    def encode(self, value: Any) -> Any:
         """A value as marshal can write it, the same for all states that count as one."""
         kind = type(value)
         if kind is int:
-            return value - self.now_us if value > MOMENT else (value,)
-        if kind in _SIMPLE:
+            return value - self.now_us if value > TIME_THRESHOLD_US else (value,)
+        if kind in _PLAIN_TYPES:
             return value
-        of = self.of
+        encode = self.encode
         if kind is dict:
-            return [(of(k), of(v)) for k, v in value.items()]
+            return [(encode(k), encode(v)) for k, v in value.items()]
         if kind is list or kind is tuple or kind.__name__ == "deque":
-            return [of(v) for v in value]
+            return [encode(v) for v in value]
         if isinstance(value, Enum):
             return value.name
         if kind is SetUp:
             return (value.call, value.called, value.wait_ms)
         if kind is i.Settings or kind is i.CallClass:
-            at = _KEPT_AT.get(id(value))
+            at = _SHARED_INDEX.get(id(value))
             return repr(value) if at is None else at
-        if (ident := id(value)) in self.met:
-            return ("met", self.met[ident])
+        if (object_id := id(value)) in self.seen:
+            return ("met", self.seen[object_id])
         if kind is set or kind is frozenset:
-            return sorted((of(v) for v in value), key=repr)
-        self.met[ident] = len(self.met)
+            return sorted((encode(v) for v in value), key=repr)
+        self.seen[object_id] = len(self.seen)
         if isinstance(value, Component):
             # A part knows all the others: what is its own is walked where the part itself is.
-            own = vars(value)
-            left_out = _LEFT_OUT.get(kind, ())
+            attributes = vars(value)
+            excluded = _EXCLUDED.get(kind, ())
             return [
-                (k, of(v)) for k, v in own.items()
-                if k not in left_out and not isinstance(v, Component | Core)
+                (k, encode(v)) for k, v in attributes.items()
+                if k not in excluded and not isinstance(v, Component | Core)
             ]  # fmt: skip
-        fields = _FIELDS.get(kind)
+        fields = _FIELD_CACHE.get(kind)
         if fields is None:
-            fields = _FIELDS[kind] = _fields(kind)
+            fields = _FIELD_CACHE[kind] = _included_slots(kind)
         if fields:
-            return [of(getattr(value, name)) for name in fields]
-        left_out = _LEFT_OUT.get(kind, ())
-        return [(k, of(v)) for k, v in vars(value).items() if k not in left_out]
+            return [encode(getattr(value, name)) for name in fields]
+        excluded = _EXCLUDED.get(kind, ())
+        return [(k, encode(v)) for k, v in vars(value).items() if k not in excluded]
 
 
 def fingerprint(environment: Environment) -> bytes:
     """16 bytes that are equal for states that count as one."""
-    walk = _Walk(environment.now_us)
+    encoder = _Encoder(environment.now_us)
     session = environment.session
     module = session.decision_module.controller
-    tokens = [(module.timers[k], walk.of(k)) for k in module.timers if environment.token_lives(k)]
-    parts = [walk.of(part) for part in vars(session).values() if isinstance(part, Component)]
+    tokens = [(module.timers[k], encoder.encode(k)) for k in module.timers if environment.token_is_live(k)]
+    components = [encoder.encode(part) for part in vars(session).values() if isinstance(part, Component)]
     timers = [
-        (at - environment.now_us, timer.kind.name, walk.of(timer.what))
+        (at - environment.now_us, timer.kind.name, encoder.encode(timer.what))
         for at, _, timer in sorted(session.timers.heap, key=lambda t: t[:2])
-        if environment.alive(timer)
+        if environment.timer_is_live(timer)
     ]
-    state = (parts, tokens, walk.of(session.core), timers, walk.of(environment.history), walk.of(environment))
+    state = (
+        components,
+        tokens,
+        encoder.encode(session.core),
+        timers,
+        encoder.encode(environment.history),
+        encoder.encode(environment),
+    )
     return hashlib.blake2b(marshal.dumps(state, 2), digest_size=16).digest()
--- a/latchturn/checking/traces.py
+++ b/latchturn/checking/traces.py
@@ -13,7 +13,7 @@
 
 from .. import protocol as p
 from .. import session as s
-from .environment import START, Choice, Environment, PropertyViolation
+from .environment import START_US, Choice, Environment, PropertyViolation
 from .scopes import SCOPES
 
 VERSION = 1
@@ -36,9 +36,9 @@
 
 def write(path: Path, trace: Trace) -> None:
     """Keep a trace; the file appears whole or not at all."""
-    part = path.with_name(path.name + ".part")
-    part.write_bytes(msgspec.json.format(msgspec.json.encode(trace), indent=1) + b"\n")
-    part.replace(path)
+    partial_path = path.with_name(path.name + ".part")
+    partial_path.write_bytes(msgspec.json.format(msgspec.json.encode(trace), indent=1) + b"\n")
+    partial_path.replace(path)
 
 
 def read(path: Path) -> Trace:
@@ -69,9 +69,9 @@
                 shown = " ".join(map(str, choice))
                 kinds = sorted({str(c[0]) for c in offered})
                 raise TraceError(f"choice {number}, {shown!r}, cannot be made there; expected {', '.join(kinds)}")
-            environment.do(choice)
+            environment.apply(choice)
         if end and not environment.choices():
-            environment.close_out()
+            environment.run_to_end()
     except PropertyViolation as broken:
         return broken
     return None
@@ -80,77 +80,79 @@
 # --- stories ---
 
 
-def story(scope: str, choices: Iterable[Choice]) -> list[str]:
+def narrate(scope: str, choices: Iterable[Choice]) -> list[str]:
     """A path as lines: when, who, what. The last line says what broke, if anything did."""
     environment = Environment(SCOPES[scope])
-    environment.story = []
+    environment.recording = []
     lines: list[str] = []
     broken = None
     try:
         for choice in choices:
-            environment.do(choice)
-            _tell(environment, lines)
+            environment.apply(choice)
+            _append_lines(environment, lines)
         if not environment.choices():
-            environment.close_out()
+            environment.run_to_end()
     except PropertyViolation as error:
         broken = error
-    _tell(environment, lines)
+    _append_lines(environment, lines)
     if broken is not None:
         lines.append(f"BROKEN  {broken.name}: {broken.message}")
     return lines
 
 
-def _tell(environment: Environment, lines: list[str]) -> None:
-    happened, environment.story = environment.story or [], []
-    for moment, what in happened:
-        for who, text in _words(environment, what):
-            lines.append(f"{(moment - START) / 1000:8.1f} ms  {who:<14}{text}")
+def _append_lines(environment: Environment, lines: list[str]) -> None:
+    recorded, environment.recording = environment.recording or [], []
+    for time_us, item in recorded:
+        for who, text in _describe(environment, item):
+            lines.append(f"{(time_us - START_US) / 1000:8.1f} ms  {who:<14}{text}")
 
 
-def _words(environment: Environment, what: object) -> list[tuple[str, str]]:
+def _describe(environment: Environment, item: object) -> list[tuple[str, str]]:
     """Who does what, in words; nothing for what says nothing to a reader."""
-    if what is None:
+    if item is None:
         return [("clock", "goes on")]
-    if isinstance(what, s.Write):
-        return [("controller", f"to {_stream(environment, what.stream)}: {_message(m)}") for m in what.messages]
-    if isinstance(what, s.MessageReceived):
-        return [(_stream(environment, what.stream), _message(what.message))]
-    if isinstance(what, s.WriteCompleted | s.Tick | s.Log):
-        return [("controller", what.text)] if isinstance(what, s.Log) else []
-    if isinstance(what, s.Connect | s.Close | s.CloseIdle):
-        verb = {s.Connect: "opens", s.Close: "closes", s.CloseIdle: "closes, if idle,"}[type(what)]
-        return [("controller", f"{verb} {_stream(environment, what.stream)}")]
-    if isinstance(what, s.ConnectionClosed | s.Connected | s.ConnectFailed | s.EndOfInput | s.Accepted):
-        return [(_stream(environment, what.stream), type(what).__name__.lower())]
-    if isinstance(what, s.ListUpdateReceived):
-        told = ", ".join(f"{k.entry.exchange} {k.entry.state.name.lower()}" for k in what.update.records)
-        return [("list", told)]
-    if isinstance(what, s.Terminate):
+    if isinstance(item, s.Write):
+        return [
+            ("controller", f"to {_stream_label(environment, item.stream)}: {_message_text(m)}") for m in item.messages
+        ]
+    if isinstance(item, s.MessageReceived):
+        return [(_stream_label(environment, item.stream), _message_text(item.message))]
+    if isinstance(item, s.WriteCompleted | s.Tick | s.Log):
+        return [("controller", item.text)] if isinstance(item, s.Log) else []
+    if isinstance(item, s.Connect | s.Close | s.CloseIdle):
+        verb = {s.Connect: "opens", s.Close: "closes", s.CloseIdle: "closes, if idle,"}[type(item)]
+        return [("controller", f"{verb} {_stream_label(environment, item.stream)}")]
+    if isinstance(item, s.ConnectionClosed | s.Connected | s.ConnectFailed | s.EndOfInput | s.Accepted):
+        return [(_stream_label(environment, item.stream), type(item).__name__.lower())]
+    if isinstance(item, s.ListUpdateReceived):
+        entries = ", ".join(f"{k.entry.exchange} {k.entry.state.name.lower()}" for k in item.update.records)
+        return [("list", entries)]
+    if isinstance(item, s.Terminate):
         return [("operators", "SIGTERM")]
-    inward = isinstance(
-        what, s.AdminRequest | s.SuccessorChanged | s.Reconfigured | s.CallInherited | s.ReleaseForwarded
+    from_operators = isinstance(
+        item, s.AdminRequest | s.SuccessorChanged | s.Reconfigured | s.CallInherited | s.ReleaseForwarded
     )
-    return [("operators" if inward else "controller", str(what)[:90])]
+    return [("operators" if from_operators else "controller", str(item)[:90])]
 
 
-def _stream(environment: Environment, stream: int) -> str:
-    far = environment.history.links.get(stream) or (
-        stream < 0 and stream in environment.peers and environment.peers[stream].far
+def _stream_label(environment: Environment, stream: int) -> str:
+    exchange_id = environment.history.links.get(stream) or (
+        stream < 0 and stream in environment.peers and environment.peers[stream].exchange_id
     )
-    return f"caller {stream}" if stream > 0 else f"{far or 'link'}/{stream}"
+    return f"caller {stream}" if stream > 0 else f"{exchange_id or 'link'}/{stream}"
 
 
-def _message(message: p.Message) -> str:
+def _message_text(message: p.Message) -> str:
     if isinstance(message, p.Release):
         cause = p.ReleaseCause(message.cause).name.lower().replace("_", " ")
-        stay = f", come back in {message.retry_after_ms} ms" if message.retry_after_ms else ""
-        return f"release of call {message.call} ({cause}{stay})"
+        retry = f", come back in {message.retry_after_ms} ms" if message.retry_after_ms else ""
+        return f"release of call {message.call} ({cause}{retry})"
     if isinstance(message, p.SetUp):
         return f"set-up of call {message.call}, waits {message.wait_ms} ms"
     return f"{type(message).__name__.lower()} of call {message.call}"
 
 
-TEST = '''\
+TEST_TEMPLATE = '''\
 """{message}"""
 
 import unittest
@@ -171,4 +173,4 @@
     """A test that replays the path and fails as long as the property is broken on it."""
     choices = "\n".join(f"            {tuple(c)!r}," for c in trace.choices)
     name = (trace.broken or "path").replace("-", "_")
-    return TEST.format(message=trace.message or "A path.", name=name, choices=choices, scope=trace.scope)
+    return TEST_TEMPLATE.format(message=trace.message or "A path.", name=name, choices=choices, scope=trace.scope)
--- a/latchturn/checking/walks.py
+++ b/latchturn/checking/walks.py
@@ -21,59 +21,59 @@
     "through": 4.0,
     "connect": 3.0,
 }
-RARE = 0.3
+DEFAULT_WEIGHT = 0.3
 
 
 @dataclass(slots=True)
-class Walk:
+class WalkResult:
     """What one walk has seen."""
 
     seed: int
     steps: int = 0
     calls: int = 0
     seconds: float = 0.0
-    broken: str = ""
+    violated: str = ""
     message: str = ""
     choices: tuple[Choice, ...] = ()
     kinds: Counter[str] = field(default_factory=Counter)
     pairs: Pairs = field(default_factory=Counter)
 
 
-def walk(seed: int, steps: int, scope: str = "wide") -> Walk:
+def walk(seed: int, steps: int, scope: str = "wide") -> WalkResult:
     """Make so many choices, drawn by the seed, or fewer if a property breaks or nothing more can happen. At the
     end everything is brought to its end and nothing may be left."""
-    began, draw = time.monotonic(), random.Random(seed)
-    seen = Walk(seed)
+    started_s, generator = time.monotonic(), random.Random(seed)
+    result = WalkResult(seed)
     path: list[Choice] = []
-    with record(seen.pairs):
+    with record(result.pairs):
         try:
             environment = Environment(SCOPES[scope])
             for _ in range(steps):
                 choices = environment.choices()
                 if not choices:
                     break
-                weights = [WEIGHTS.get(str(c[0]), RARE) for c in choices]
-                path.append(draw.choices(choices, weights)[0])
-                seen.kinds[str(path[-1][0])] += 1
-                environment.do(path[-1])
-            environment.close_out()
+                weights = [WEIGHTS.get(str(c[0]), DEFAULT_WEIGHT) for c in choices]
+                path.append(generator.choices(choices, weights)[0])
+                result.kinds[str(path[-1][0])] += 1
+                environment.apply(path[-1])
+            environment.run_to_end()
         except PropertyViolation as broken:
-            seen.broken, seen.message = broken.name, broken.message
-            seen.choices = tuple(path)
-    seen.steps, seen.calls = len(path), seen.kinds["set_up"]
-    seen.seconds = time.monotonic() - began
-    return seen
+            result.violated, result.message = broken.name, broken.message
+            result.choices = tuple(path)
+    result.steps, result.calls = len(path), result.kinds["set_up"]
+    result.seconds = time.monotonic() - started_s
+    return result
 
 
-def breaks(choices: list[Choice], scope: str) -> tuple[str, list[Choice]]:
+def replay_offered(choices: list[Choice], scope: str) -> tuple[str, list[Choice]]:
     """Which property breaks on a path from which choices that are not offered fall out, and the path as made."""
     environment, made = Environment(SCOPES[scope]), list[Choice]()
     try:
         for choice in choices:
             if choice in environment.choices():
                 made.append(choice)
-                environment.do(choice)
-        environment.close_out()
+                environment.apply(choice)
+        environment.run_to_end()
     except PropertyViolation as broken:
         return broken.name, made
     return "", made
@@ -86,7 +86,7 @@
     while piece and time.monotonic() < until:
         at, shorter = 0, False
         while at < len(path) and time.monotonic() < until:
-            name, made = breaks(path[:at] + path[at + piece :], scope)
+            name, made = replay_offered(path[:at] + path[at + piece :], scope)
             if name == broken and len(made) < len(path):
                 path, shorter = made, True
             else:
--- a/latchturn/cli/check.py
+++ b/latchturn/cli/check.py
@@ -63,20 +63,20 @@
         result = explorer.explore(name, jobs, seconds, fault or "", _progress if sys.stderr.isatty() else None)
         met.update(result.pairs)
         rate = result.transitions / max(result.seconds, 1e-9)
-        outcome = "BROKEN" if result.broken else "holds, exhausted" if result.exhausted else "not exhausted"
+        outcome = "BROKEN" if result.violated else "holds, exhausted" if result.exhausted else "not exhausted"
         click.echo(
             f"{name}: {outcome}; {result.states} states, {result.transitions} transitions, depth "
             f"{result.depth}, {result.ends} ends, {result.seconds:.1f} s, {rate:.0f} transitions/s"
         )
-        if result.broken:
-            _show(traces.Trace(traces.VERSION, name, result.choices, result.broken, result.message, fault or ""),
+        if result.violated:
+            _show(traces.Trace(traces.VERSION, name, result.choices, result.violated, result.message, fault or ""),
                   file)  # fmt: skip
             sys.exit(BROKEN)
         verdict = verdict if result.exhausted else UNFINISHED
     if show_pairs:
-        for (machine, state, move), count, never in pairs.table(met):
+        for (machine, state, move), count, never in pairs.pair_counts(met):
             click.echo(f"{machine:<11}{state:<17}{move:<10}{count:>9}  {never and 'never: ' + never}")
-        click.echo(f"{len(pairs.unmet(met))} pairs that can be were not met")
+        click.echo(f"{len(pairs.unmet_pairs(met))} pairs that can be were not met")
     sys.exit(verdict)
 
 
@@ -90,7 +90,7 @@
         click.echo(f"{trace.broken}: {trace.message} (planted: {trace.fault})")
         click.echo("choices: " + "; ".join(" ".join(map(str, c)) for c in trace.choices))
     else:
-        click.echo("\n".join(traces.story(trace.scope, trace.choices)))
+        click.echo("\n".join(traces.narrate(trace.scope, trace.choices)))
     if file is not None:
         traces.write(file, trace)
         click.echo(f"kept in {file}; latchturn check replay {file}")
@@ -110,10 +110,10 @@
 
     with ThreadPoolExecutor(jobs) as threads:
         for name, result in zip(plants.PLANTED_FAULTS, threads.map(run, plants.PLANTED_FAULTS)):
-            missed += not result.broken
-            caught.add(result.broken)
+            missed += not result.violated
+            caught.add(result.violated)
             click.echo(
-                f"{name:<29}{result.scope:<12}{result.broken or 'NOT CAUGHT':<14}{len(result.choices):>5}"
+                f"{name:<29}{result.scope:<12}{result.violated or 'NOT CAUGHT':<14}{len(result.choices):>5}"
                 f"{result.states:>8}{result.seconds:>7.1f}s"
             )
     idle = [property_.name for property_ in properties.PROPERTIES if property_.name not in caught]
@@ -137,9 +137,9 @@
     with multiprocessing.get_context("fork").Pool(min(jobs, count)) as pool:
         for seen in pool.starmap(walks.walk, work):
             click.echo(f"seed {seen.seed}: {seen.steps} steps, {seen.calls} calls, {seen.seconds:.1f} s")
-            if seen.broken:
-                short = walks.shorten(seen.choices, seen.broken)
-                _show(traces.Trace(traces.VERSION, "wide", short, seen.broken, seen.message), file)
+            if seen.violated:
+                short = walks.shorten(seen.choices, seen.violated)
+                _show(traces.Trace(traces.VERSION, "wide", short, seen.violated, seen.message), file)
                 sys.exit(BROKEN)
 
 
@@ -148,9 +148,10 @@
 @click.option("--steps", default=400, show_default=True, type=click.IntRange(1))
 def lines(count: int, steps: int) -> None:
     """Tell which lines of the reducer no path reaches, over the small scopes and some walks."""
-    from ..checking.reached import missed
 
-    for file, numbers in missed(count, steps).items():
+    from ..checking.reached import unreached_lines
+
+    for file, numbers in unreached_lines(count, steps).items():
         click.echo(f"{file}: {', '.join(map(str, numbers)) or 'all reached'}")
 
 
@@ -167,7 +168,7 @@
     for scope in scopes.SCOPES.values():
         click.echo(f"{scope.name:<12}{scope.about}")
         click.echo(f"{'':<12}leaves out: {scope.leaves_out}")
-        click.echo(f"{'':<12}{json.dumps(scope.budgets)}, {scope.rare} rare a path")
+        click.echo(f"{'':<12}{json.dumps(scope.budgets)}, {scope.rare_choices} rare a path")
 
 
 @check.command()
@@ -188,6 +189,6 @@
     except traces.TraceError as error:
         click.echo(f"latchturn: {error}" if str(file) in str(error) else f"latchturn: {file}: {error}", err=True)
         sys.exit(UNUSABLE)
-    lines = traces.story(trace.scope, trace.choices)
+    lines = traces.narrate(trace.scope, trace.choices)
     click.echo("\n".join(lines))
     sys.exit(BROKEN if lines and lines[-1].startswith("BROKEN") else HOLDS)
--- a/tests/test_checking.py
+++ b/tests/test_checking.py
@@ -16,11 +16,11 @@
 from latchturn.checking import plants, traces
 from latchturn.checking.environment import Environment
 from latchturn.checking.explorer import explore
-from latchturn.checking.pairs import table, unmet
+from latchturn.checking.pairs import pair_counts, unmet_pairs
 from latchturn.checking.properties import PROPERTIES
 from latchturn.checking.scopes import EXHAUSTIVE, SCOPES
 from latchturn.checking.states import fingerprint, load, save
-from latchturn.checking.walks import breaks, shorten, walk
+from latchturn.checking.walks import replay_offered, shorten, walk
 from latchturn.cli.__main__ import main
 from latchturn.session.machines import CALL, MACHINES, CallMove, CallState, ImpossibleMove, Machine
 from tests.helpers import Desk, listed, set_up
@@ -88,11 +88,11 @@
     def test_a_snapshot_goes_on_as_its_world_did(self) -> None:
         environment = Environment(SCOPES["two"])
         for choice in PATH:
-            environment.do(choice)
+            environment.apply(choice)
         again = load(save(environment))
         self.assertEqual(fingerprint(again), fingerprint(environment))
         for each in (environment, again):
-            each.do(("tick",))
+            each.apply(("tick",))
         self.assertEqual(fingerprint(again), fingerprint(environment))
         self.assertEqual(again.choices(), environment.choices())
 
@@ -101,7 +101,7 @@
         for last in (("half", 1), ("half", 2)), (("half", 2), ("half", 1)), (("half", 1),):
             environment = Environment(SCOPES["wide"])
             for choice in (("set_up", 1), *last):
-                environment.do(choice)
+                environment.apply(choice)
             marks.append(fingerprint(environment))
         self.assertEqual(marks[0], marks[1])
         self.assertNotEqual(marks[0], marks[2])
@@ -110,14 +110,14 @@
 class Exploring(unittest.TestCase):
     def test_a_scope_is_exhausted_with_the_same_counts_on_any_number_of_processes(self) -> None:
         one, three = explore("tries", 1), explore("tries", 3)
-        self.assertTrue(one.exhausted and not one.broken, one.message)
+        self.assertTrue(one.exhausted and not one.violated, one.message)
         self.assertEqual(
             (one.states, one.transitions, one.depth, one.ends, one.pairs),
             (three.states, three.transitions, three.depth, three.ends, three.pairs),
         )
-        met = {pair[0] for pair, count, _ in table(one.pairs) if count}
+        met = {pair[0] for pair, count, _ in pair_counts(one.pairs) if count}
         self.assertEqual(met, {"attempt", "call", "connection"})
-        self.assertIn(("phase", "OPEN", "DRAIN"), unmet(one.pairs))
+        self.assertIn(("phase", "OPEN", "DRAIN"), unmet_pairs(one.pairs))
 
     def test_time_that_is_up_is_never_told_as_exhausted(self) -> None:
         self.assertFalse(explore("two", 1, 0.2).exhausted)
@@ -125,7 +125,7 @@
     def test_a_fault_is_found_on_a_shortest_path_that_holds_without_it(self) -> None:
         for name, violated, depth in (("pause-forgotten", "pause", 2), ("number-changed", "unchanged", 1)):
             found = explore("mini", 2, 30, name)
-            self.assertEqual((found.broken, len(found.choices)), (violated, depth))
+            self.assertEqual((found.violated, len(found.choices)), (violated, depth))
             self.assertIsNone(traces.replay("mini", found.choices, end=False))
 
     def test_the_catalogue_has_faults_for_all_scopes_but_walks(self) -> None:
@@ -137,7 +137,7 @@
 class Walks(unittest.TestCase):
     def test_a_seed_gives_the_same_walk(self) -> None:
         one, two = walk(3, 300), walk(3, 300)
-        self.assertEqual(one.broken, "", one.message)
+        self.assertEqual(one.violated, "", one.message)
         self.assertEqual((one.kinds, one.pairs), (two.kinds, two.pairs))
         self.assertNotEqual(one.kinds, walk(4, 300).kinds)
 
@@ -145,14 +145,14 @@
         code = (
             "from latchturn.checking import plants, walks\n"
             "plants.plant('cancel-not-told')\n"
-            "seen = next(w for w in (walks.walk(k, 400) for k in range(9)) if w.broken)\n"
-            "short = walks.shorten(seen.choices, seen.broken)\n"
-            "name, _ = walks.breaks(list(short), 'wide')\n"
-            "print(name == seen.broken, len(short) < len(seen.choices), len(short))\n"
+            "seen = next(w for w in (walks.walk(k, 400) for k in range(9)) if w.violated)\n"
+            "short = walks.shorten(seen.choices, seen.violated)\n"
+            "name, _ = walks.replay_offered(list(short), 'wide')\n"
+            "print(name == seen.violated, len(short) < len(seen.choices), len(short))\n"
         )
         done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
         self.assertRegex(done.stdout, r"^True True [2-9]\n")
-        self.assertEqual(breaks([("set_up", 1)], "mini")[0], "")
+        self.assertEqual(replay_offered([("set_up", 1)], "mini")[0], "")
         self.assertEqual(shorten((), "nothing", "mini"), ())
 
 
