--- a/latchturn/benchlink.py
+++ b/latchturn/benchlink.py
@@ -13,24 +13,24 @@
 from . import interface as i
 from .brain import Controller
 
-HEADER = struct.Struct("<QII")
-REPLY = struct.Struct("<II")
+FRAME_HEADER = struct.Struct("<QII")
+REPLY_HEADER = struct.Struct("<II")
 EVENT_SIZE = 48
 ACTION_SIZE = 24
-ENTRY = struct.Struct("<QBIBBfH")
-UP = struct.Struct("<xIQII")
-LEDGER = struct.Struct("<xBII")
-LIST = struct.Struct("<xIBIB")
-CALL = struct.Struct("<xIIIBHQIQfff")
-STANDS = struct.Struct("<xIIBII")
-ENDED = struct.Struct("<xIIBIHIBIB4f")
-PROBED = struct.Struct("<xIIIHB4f")
-TWO = struct.Struct("<xII")
-ONE = struct.Struct("<xI")
-ACT_SEND = struct.Struct("<BIIII7x")
-ACT_TWO = struct.Struct("<BIII11x")
-ACT_ONE = struct.Struct("<BII15x")
-ACT_FLAG = struct.Struct("<BIB18x")
+LIST_ENTRY = struct.Struct("<QBIBBfH")
+START = struct.Struct("<xIQII")
+LIST_TABLE = struct.Struct("<xBII")
+EXCHANGE_LIST = struct.Struct("<xIBIB")
+CALL_OFFERED = struct.Struct("<xIIIBHQIQfff")
+CALL_ANSWERED = struct.Struct("<xIIBII")
+ATTEMPT_ENDED = struct.Struct("<xIIBIHIBIB4f")
+EXCHANGE_REPORT = struct.Struct("<xIIIHB4f")
+INSTANCE_AND_NUMBER = struct.Struct("<xII")
+INSTANCE = struct.Struct("<xI")
+ACTION_SEND_SETUP = struct.Struct("<BIIII7x")
+ACTION_TWO_NUMBERS = struct.Struct("<BIII11x")
+ACTION_ONE_NUMBER = struct.Struct("<BII15x")
+ACTION_FLAG = struct.Struct("<BIB18x")
 
 OUTCOMES = {
     200: i.Outcome.RELEASED,
@@ -54,7 +54,7 @@
 }
 
 
-MOST_FIGURES = {"free": 1e6, "size": 1e6, "setups_per_s": 1e6, "throttle_share": 1.0, "busy_share": 1.0}
+MAX_FIGURES = {"free": 1e6, "size": 1e6, "setups_per_s": 1e6, "throttle_share": 1.0, "busy_share": 1.0}
 
 
 class WireError(Exception):
@@ -65,18 +65,18 @@
     """A setting that is needed but missing or unreadable."""
 
 
-class _Pairs:
+class _SettingLines:
     """The path=value lines of the settings."""
 
     def __init__(self, text: str) -> None:
-        self.pairs: dict[str, str] = {}
+        self.values: dict[str, str] = {}
         for line in text.split("\n"):
-            key, sign, value = line.partition("=")
-            if sign:
-                self.pairs[key.strip()] = value.strip()
+            key, separator, value = line.partition("=")
+            if separator:
+                self.values[key.strip()] = value.strip()
 
     def text(self, key: str, default: str | None = None) -> str:
-        value = self.pairs.get(key, default)
+        value = self.values.get(key, default)
         if value is None:
             raise SettingsError(f"setting {key} is missing")
         return value
@@ -115,15 +115,15 @@
 
 def read_settings(text: str) -> tuple[i.Settings, list[str | None]]:
     """The settings of an instance, and the report fields in their order."""
-    pairs = _Pairs(text)
-    count = pairs.integer("grades.count")
-    widths = pairs.integers("family-info.widths", ",".join(["1"] * count))
-    holds = pairs.integers("family-info.class-hold-us")
+    lines = _SettingLines(text)
+    count = lines.integer("grades.count")
+    widths = lines.integers("family-info.widths", ",".join(["1"] * count))
+    holding_times_us = lines.integers("family-info.class-hold-us")
     if len(widths) < count:
         raise SettingsError("setting family-info.widths has fewer entries than there are classes")
-    if len(holds) < count:
+    if len(holding_times_us) < count:
         raise SettingsError("setting family-info.class-hold-us has fewer entries than there are classes")
-    topology = {"meshed": i.Topology.MESH, "groups": i.Topology.POOLS}.get(pairs.text("family-info.shape"))
+    topology = {"meshed": i.Topology.MESH, "groups": i.Topology.POOLS}.get(lines.text("family-info.shape"))
     if topology is None:
         raise SettingsError("setting family-info.shape is unreadable")
     classes = []
@@ -131,44 +131,44 @@
         base = f"grades.{k}."
         pools = ""
         for key in (f"family-info.skilled-pools.{k}", f"family-info.skilled-pools.{k}.items"):
-            pools = pools or pairs.text(key, "")
+            pools = pools or lines.text(key, "")
         if not pools and count == 1:
-            pools = pairs.text("family-info.skilled-pools", "")
+            pools = lines.text("family-info.skilled-pools", "")
         classes.append(
             i.CallClass(
-                name=pairs.text(base + "name", str(k)),
-                value=pairs.real(base + "importance"),
-                late_share=pairs.real(base + "late-value", "0"),
-                target_us=pairs.integer(base + "objective-us"),
-                give_up_us=pairs.integer(base + "give-up-us"),
+                name=lines.text(base + "name", str(k)),
+                value=lines.real(base + "importance"),
+                late_share=lines.real(base + "late-value", "0"),
+                target_us=lines.integer(base + "objective-us"),
+                give_up_us=lines.integer(base + "give-up-us"),
                 width=widths[k],
-                holding_us=holds[k],
+                holding_us=holding_times_us[k],
                 pools=tuple(int(float(part)) for part in pools.replace("|", ",").split(",") if part),
-                at_most_once=pairs.text(base + "effect", "pure") != "pure",
+                at_most_once=lines.text(base + "effect", "pure") != "pure",
             )
         )
-    stay_away = pairs.integer("allowed.max-retry-after-us", "0")
+    retry_after_limit_us = lines.integer("allowed.max-retry-after-us", "0")
     settings = i.Settings(
         classes=tuple(classes),
         topology=topology,
-        own_number=pairs.integer("family-info.own-exchange"),
-        controllers=pairs.integer("instances"),
-        max_attempts=pairs.integer("allowed.send-cap"),
-        release_us=pairs.integer("family-info.release-us"),
-        drain_grace_us=pairs.integer("rules.stop-sending-within-us"),
-        cold_start_share=pairs.real("rules.cold-from"),
-        warm_up_us=pairs.integer("rules.warm-within-us"),
-        collapse_multiple=pairs.real("rules.fall-multiple"),
-        collapse_us=pairs.integer("rules.fall-us"),
-        connect_timeout_us=pairs.integer("allowed.connect-timeout-us"),
-        list_on_request=pairs.text("discovery") == "on_request",
-        ask_within_us=pairs.integer("rules.ask-within-us", "0"),
-        max_retry_after_us=stay_away if pairs.flag("allowed.retry-after", "false") else 0,
-        resend_us=pairs.integer("family-info.resend-us", "0"),
-        late_penalty=pairs.real("deductions.late-fail", "0"),
-        tenants=tuple(pairs.text(f"realms.{k}.name") for k in range(pairs.integer("realms.count", "0"))),
+        own_number=lines.integer("family-info.own-exchange"),
+        controllers=lines.integer("instances"),
+        max_attempts=lines.integer("allowed.send-cap"),
+        release_us=lines.integer("family-info.release-us"),
+        drain_grace_us=lines.integer("rules.stop-sending-within-us"),
+        cold_start_share=lines.real("rules.cold-from"),
+        warm_up_us=lines.integer("rules.warm-within-us"),
+        collapse_multiple=lines.real("rules.fall-multiple"),
+        collapse_us=lines.integer("rules.fall-us"),
+        connect_timeout_us=lines.integer("allowed.connect-timeout-us"),
+        list_on_request=lines.text("discovery") == "on_request",
+        ask_within_us=lines.integer("rules.ask-within-us", "0"),
+        max_retry_after_us=retry_after_limit_us if lines.flag("allowed.retry-after", "false") else 0,
+        resend_us=lines.integer("family-info.resend-us", "0"),
+        late_penalty=lines.real("deductions.late-fail", "0"),
+        tenants=tuple(lines.text(f"realms.{k}.name") for k in range(lines.integer("realms.count", "0"))),
     )
-    fields = [REPORT_FIELDS.get(name) for name in pairs.text("report.fields", "").split(",") if name]
+    fields = [REPORT_FIELDS.get(name) for name in lines.text("report.fields", "").split(",") if name]
     return settings, fields
 
 
@@ -176,7 +176,7 @@
     """A load report from figures by their field; those unknown, absent or out of reason are left out."""
     report = i.LoadReport()
     for name, value in figures:
-        if name is None or not 0.0 <= value <= MOST_FIGURES.get(name, 1e12):
+        if name is None or not 0.0 <= value <= MAX_FIGURES.get(name, 1e12):
             continue
         if name in ("free", "size"):
             setattr(report, name, int(value))
@@ -202,14 +202,14 @@
         return read_report(zip(self.fields[:n], values)) if n else None
 
 
-class Link:
-    """Turns batches into replies; holds the instances of one process."""
+class BatchHandler:
+    """Turns batches into replies; holding_times_us the instances of one process."""
 
     def __init__(self) -> None:
         self.instances: dict[int, _Instance] = {}
         self.lists: dict[int, list[i.ListEntry]] = {}
 
-    def batch(self, now_us: int, count: int, body: bytes, offset: int) -> bytes:
+    def handle_batch(self, now_us: int, count: int, body: bytes, offset: int) -> bytes:
         """The reply to one batch; `offset` is where its body lies in the input."""
         if count * EVENT_SIZE > len(body):
             raise WireError(f"{count} records do not fit a frame of {len(body)} bytes at offset {offset}")
@@ -218,65 +218,65 @@
         tail = bytearray()
         for at in range(0, tail_at, EVENT_SIZE):
             try:
-                self.event(now_us, body, at, tail_at, records, tail)
+                self.handle_event(now_us, body, at, tail_at, records, tail)
             except WireError as error:
                 raise WireError(f"{error} at offset {offset + at}") from None
         payload = b"".join(records)
-        return REPLY.pack(len(records), len(payload) + len(tail)) + payload + bytes(tail)
+        return REPLY_HEADER.pack(len(records), len(payload) + len(tail)) + payload + bytes(tail)
 
-    def event(self, now: int, body: bytes, at: int, tail_at: int, out: list[bytes], tail: bytearray) -> None:
+    def handle_event(self, now: int, body: bytes, at: int, tail_at: int, out: list[bytes], tail: bytearray) -> None:
         """One event record at `at` of the frame's body."""
         code = body[at]
         if code == 10:
-            table, start, count = LEDGER.unpack_from(body, at)
+            table, start, count = LIST_TABLE.unpack_from(body, at)
             begin = tail_at + start
-            if begin + count * ENTRY.size > len(body):
+            if begin + count * LIST_ENTRY.size > len(body):
                 raise WireError("list entries outside the frame")
-            self.lists[table] = [self.entry(body, begin + k * ENTRY.size) for k in range(count)]
+            self.lists[table] = [self.read_entry(body, begin + k * LIST_ENTRY.size) for k in range(count)]
             return
         if code not in (0, 1, 2, 3, 4, 5, 6, 7, 8, 9):
             raise WireError(f"unknown event code {code}")
-        (proxy,) = ONE.unpack_from(body, at)
+        (instance_id,) = INSTANCE.unpack_from(body, at)
         if code == 1:
-            _, seed, start, size = UP.unpack_from(body, at)
+            _, seed, start, size = START.unpack_from(body, at)
             if tail_at + start + size > len(body):
                 raise WireError("settings outside the frame")
             raw = body[tail_at + start : tail_at + start + size]
-            self.instances.pop(proxy, None)
+            self.instances.pop(instance_id, None)
             try:
                 settings, fields = read_settings(raw.decode("utf-8"))
-                self.instances[proxy] = _Instance(Controller(settings, seed), fields)
+                self.instances[instance_id] = _Instance(Controller(settings, seed), fields)
             except (SettingsError, ValueError) as error:
-                self.text(73, proxy, str(error), out, tail)
+                self.write_text(73, instance_id, str(error), out, tail)
             return
-        instance = self.instances.get(proxy)
+        instance = self.instances.get(instance_id)
         if code == 7:
-            self.instances.pop(proxy, None)
+            self.instances.pop(instance_id, None)
             return
         if instance is None:
-            raise WireError(f"event {code} for instance {proxy}, which is not started")
-        event = self.read(code, body, at, instance)
+            raise WireError(f"event {code} for instance {instance_id}, which is not started")
+        event = self.read_event(code, body, at, instance)
         if event is None:
             return
         try:
             actions = instance.controller.handle(now, event)
         except Exception as error:  # noqa: BLE001 - told to the operator in so many words
-            self.text(73, proxy, f"{type(error).__name__}: {error}", out, tail)
+            self.write_text(73, instance_id, f"{type(error).__name__}: {error}", out, tail)
             return
         for action in actions:
-            self.write(proxy, action, out, tail)
+            self.write_action(instance_id, action, out, tail)
 
     @staticmethod
-    def entry(body: bytes, at: int) -> i.ListEntry:
-        started, state, exchange, _, _, _, number = ENTRY.unpack_from(body, at)
+    def read_entry(body: bytes, at: int) -> i.ListEntry:
+        started, state, exchange, _, _, _, number = LIST_ENTRY.unpack_from(body, at)
         if state not in (1, 2, 3):
             raise WireError(f"list entry with readiness {state}")
         return i.ListEntry(exchange, number, i.ListState(state), started)
 
-    def read(self, code: int, body: bytes, at: int, instance: _Instance) -> i.Event | None:
+    def read_event(self, code: int, body: bytes, at: int, instance: _Instance) -> i.Event | None:
         """The event of a record, in the module's terms; None for what the module has no use for."""
         if code == 2:
-            (_, call, _, cls, options, item, _, deadline, width, via, dest) = CALL.unpack_from(body, at)
+            (_, call, _, cls, options, item, _, deadline, width, via, dest) = CALL_OFFERED.unpack_from(body, at)
             if not (0 <= dest < 65536 and 0 < width < 65536 and -1 <= via < 65536):
                 raise WireError("call with an impossible destination, width or via")
             return i.CallOffered(
@@ -284,31 +284,35 @@
                 bool(options & 8), bool(options & 2), bool(options & 16), int(via),
             )  # fmt: skip
         if code == 3:
-            (_, call, n, exchange, verdict, took, no_more, clear, fields, *values) = ENDED.unpack_from(body, at)
-            outcome = OUTCOMES.get(verdict)
+            (_, call, n, exchange, outcome_code, elapsed_us, concluded, cause_code, fields, *values) = (
+                ATTEMPT_ENDED.unpack_from(body, at)
+            )
+            outcome = OUTCOMES.get(outcome_code)
             if outcome is None:
-                raise WireError(f"unknown outcome {verdict}")
-            cause = CAUSES.get(clear & 15, i.Cause.NONE)
+                raise WireError(f"unknown outcome {outcome_code}")
+            cause = CAUSES.get(cause_code & 15, i.Cause.NONE)
             wait = 0
-            if cause is i.Cause.REFUSED_BY_TANDEM and clear > 15:
+            if cause is i.Cause.REFUSED_BY_TANDEM and cause_code > 15:
                 cause = i.Cause.DESTINATION_PROCESSOR_FULL
             elif cause is i.Cause.PROCESSOR_FULL:
-                wait = (clear >> 4) * 1000
+                wait = (cause_code >> 4) * 1000
             report = instance.report(fields, tuple(values))
-            return i.AttemptEnded(call, n, exchange, outcome, took, bool(no_more), cause, wait, report)
+            return i.AttemptEnded(call, n, exchange, outcome, elapsed_us, bool(concluded), cause, wait, report)
         if code == 8:
-            _, call, n, took, exchange = STANDS.unpack_from(body, at)
-            return i.CallAnswered(call, n, exchange, took)
+            _, call, n, elapsed_us, exchange = CALL_ANSWERED.unpack_from(body, at)
+            return i.CallAnswered(call, n, exchange, elapsed_us)
         if code == 9:
-            (_, took, exchange, verdict, fields, *values) = PROBED.unpack_from(body, at)
+            (_, elapsed_us, exchange, outcome_code, fields, *values) = EXCHANGE_REPORT.unpack_from(body, at)
             report = instance.report(fields, tuple(values)) or i.LoadReport()
-            return i.ExchangeReport(exchange, verdict == 200, took > 0 or verdict != 200, took, report)
+            return i.ExchangeReport(
+                exchange, outcome_code == 200, elapsed_us > 0 or outcome_code != 200, elapsed_us, report
+            )
         if code == 6:
-            return i.TimerDue(TWO.unpack_from(body, at)[1])
+            return i.TimerDue(INSTANCE_AND_NUMBER.unpack_from(body, at)[1])
         if code == 5:
-            return i.CallerLeft(TWO.unpack_from(body, at)[1])
+            return i.CallerLeft(INSTANCE_AND_NUMBER.unpack_from(body, at)[1])
         if code == 0:
-            _, kind, _, table = LIST.unpack_from(body, at)
+            _, kind, _, table = EXCHANGE_LIST.unpack_from(body, at)
             if kind > 3:
                 raise WireError(f"list of unknown kind {kind}")
             if kind == 3:
@@ -319,25 +323,25 @@
         return None
 
     @staticmethod
-    def text(code: int, proxy: int, words: str, out: list[bytes], tail: bytearray) -> None:
-        raw = words.encode("utf-8")
-        out.append(ACT_TWO.pack(code, proxy, len(tail), len(raw)))
+    def write_text(code: int, instance_id: int, message: str, out: list[bytes], tail: bytearray) -> None:
+        raw = message.encode("utf-8")
+        out.append(ACTION_TWO_NUMBERS.pack(code, instance_id, len(tail), len(raw)))
         tail += raw
 
-    def write(self, proxy: int, action: i.Action, out: list[bytes], tail: bytearray) -> None:
+    def write_action(self, instance_id: int, action: i.Action, out: list[bytes], tail: bytearray) -> None:
         """One action as a record."""
         if isinstance(action, i.SendSetup):
-            out.append(ACT_SEND.pack(66, proxy, action.call, action.exchange, action.timeout_us))
+            out.append(ACTION_SEND_SETUP.pack(66, instance_id, action.call, action.exchange, action.timeout_us))
         elif isinstance(action, i.Refuse):
-            out.append(ACT_TWO.pack(69, proxy, action.call, action.retry_after_us))
+            out.append(ACTION_TWO_NUMBERS.pack(69, instance_id, action.call, action.retry_after_us))
         elif isinstance(action, i.SetTimer):
-            out.append(ACT_TWO.pack(65, proxy, action.delay_us, action.token))
+            out.append(ACTION_TWO_NUMBERS.pack(65, instance_id, action.delay_us, action.token))
         elif isinstance(action, i.Fail):
-            out.append(ACT_ONE.pack(72, proxy, action.call))
+            out.append(ACTION_ONE_NUMBER.pack(72, instance_id, action.call))
         elif isinstance(action, i.SubscribeToList):
-            out.append(ACT_FLAG.pack(70, proxy, 1))
+            out.append(ACTION_FLAG.pack(70, instance_id, 1))
         elif isinstance(action, i.Log):
-            self.text(68, proxy, action.text, out, tail)
+            self.write_text(68, instance_id, action.text, out, tail)
 
 
 def _read(source: BinaryIO, size: int) -> bytes:
@@ -353,27 +357,27 @@
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answer batches until the input ends between two of them."""
-    link = Link()
+    handler = BatchHandler()
     offset = 0
     while True:
-        head = _read(source, HEADER.size)
+        head = _read(source, FRAME_HEADER.size)
         if not head:
             return
-        if len(head) < HEADER.size:
+        if len(head) < FRAME_HEADER.size:
             raise WireError(f"truncated frame header at offset {offset}")
-        now, length, count = HEADER.unpack(head)
+        now, length, count = FRAME_HEADER.unpack(head)
         if length < 4:
             raise WireError(f"impossible frame length {length} at offset {offset + 8}")
         body = _read(source, length - 4)
         if len(body) < length - 4:
-            raise WireError(f"truncated frame at offset {offset + HEADER.size + len(body)}")
-        sink.write(link.batch(now, count, body, offset + HEADER.size))
+            raise WireError(f"truncated frame at offset {offset + FRAME_HEADER.size + len(body)}")
+        sink.write(handler.handle_batch(now, count, body, offset + FRAME_HEADER.size))
         sink.flush()
-        offset += HEADER.size + len(body)
+        offset += FRAME_HEADER.size + len(body)
 
 
-def _stop(words: str) -> NoReturn:
-    print(f"benchlink: {words}", file=sys.stderr)
+def _exit_with_error(message: str) -> NoReturn:
+    print(f"benchlink: {message}", file=sys.stderr)
     raise SystemExit(2)
 
 
@@ -382,7 +386,7 @@
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
-        _stop(str(error))
+        _exit_with_error(str(error))
 
 
 if __name__ == "__main__":
--- a/latchturn/handover.py
+++ b/latchturn/handover.py
@@ -42,13 +42,13 @@
     return " ".join((word, *map(str, numbers))).encode() + b"\n"
 
 
-def send(sock: trio.socket.SocketType, word: str, *numbers: int) -> None:
+def send_message(sock: trio.socket.SocketType, word: str, *numbers: int) -> None:
     """Tell the other process; if it does not listen there is nobody to tell."""
     with contextlib.suppress(OSError):
         os.write(sock.fileno(), _encode(word, numbers))
 
 
-def send_all(sock: trio.socket.SocketType, word: str, rows: Iterable[tuple[int, ...]]) -> None:
+def send_messages(sock: trio.socket.SocketType, word: str, rows: Iterable[tuple[int, ...]]) -> None:
     """Tell the other process one word for each row, and wait for it to take them in, `SAY_ALL_S` at most.
 
     Guards against words lost in a full queue: each write of its own takes many times its size there.
--- a/latchturn/net.py
+++ b/latchturn/net.py
@@ -225,15 +225,15 @@
                 self._serving_scope.cancel()
                 if on:
                     if self._predecessor is not None:
-                        handover.send(self._predecessor, handover.SERVING)
+                        handover.send_message(self._predecessor, handover.SERVING)
                     self._serving_scope = trio.CancelScope()
                     self._nursery.start_soon(self._run_logged, self._run_listeners, self._serving_scope)
             case session.HandOverCalls(calls):
                 for other in self._process_connections:
-                    handover.send_all(other, handover.STANDING_CALL, calls)
+                    handover.send_messages(other, handover.STANDING_CALL, calls)
             case session.ForwardRelease(ident, cause):
                 for other in self._process_connections:
-                    handover.send(other, handover.FORWARDED_RELEASE, ident, cause)
+                    handover.send_message(other, handover.FORWARDED_RELEASE, ident, cause)
             case session.Reply(connection, data):
                 self._admin.reply(connection, data)
             case session.Log(text):
@@ -296,7 +296,7 @@
 
     async def _send_usage(self, sock: trio.socket.SocketType) -> None:
         while True:
-            handover.send(sock, handover.USAGE, handover.count_descriptors(), len(self.reducer.calls.by_id))
+            handover.send_message(sock, handover.USAGE, handover.count_descriptors(), len(self.reducer.calls.by_id))
             await trio.sleep(USAGE_INTERVAL_S)
 
     # --- callers ---
--- a/tests/frames.py
+++ b/tests/frames.py
@@ -49,37 +49,41 @@
     return data + bytes(48 - len(data))
 
 
-def up(proxy: int, tail_at: int, size: int) -> bytes:
-    return record(b"\x01" + struct.pack("<IQII", proxy, 9, tail_at, size))
+def start_instance(instance_id: int, tail_at: int, size: int) -> bytes:
+    return record(b"\x01" + struct.pack("<IQII", instance_id, 9, tail_at, size))
 
 
-def ledger(table: int, tail_at: int, entries: int) -> bytes:
+def list_table(table: int, tail_at: int, entries: int) -> bytes:
     return record(b"\x0a" + struct.pack("<BII", table, tail_at, entries))
 
 
-def known(proxy: int, kind: int, table: int) -> bytes:
-    return record(b"\x00" + struct.pack("<IBIB", proxy, kind, 1, table))
+def exchange_list(instance_id: int, kind: int, table: int) -> bytes:
+    return record(b"\x00" + struct.pack("<IBIB", instance_id, kind, 1, table))
 
 
-def told(proxy: int, exchange: int, free: float, size: float) -> bytes:
-    head = b"\x09" + struct.pack("<IIIH", proxy, 0, exchange, 200)
+def exchange_report(instance_id: int, exchange: int, free: float, size: float) -> bytes:
+    head = b"\x09" + struct.pack("<IIIH", instance_id, 0, exchange, 200)
     return record(head + b"\x03" + struct.pack("<ffff", free, size, -1.0, 0.0))
 
 
-def call(proxy: int, ident: int, to: float, deadline: int, options: int = 0) -> bytes:
-    head = b"\x02" + struct.pack("<IIIBH", proxy, ident, 0, 0, options)
+def call_offered(instance_id: int, call: int, to: float, deadline: int, options: int = 0) -> bytes:
+    head = b"\x02" + struct.pack("<IIIBH", instance_id, call, 0, 0, options)
     return record(head + struct.pack("<QIQfff", 555, 0, deadline, 1.0, -1.0, to))
 
 
-def stands(proxy: int, ident: int, exchange: int) -> bytes:
-    return record(b"\x08" + struct.pack("<IIBII", proxy, ident, 0, 90_000, exchange))
+def call_answered(instance_id: int, call: int, exchange: int) -> bytes:
+    return record(b"\x08" + struct.pack("<IIBII", instance_id, call, 0, 90_000, exchange))
 
 
-def ended(proxy: int, ident: int, exchange: int, verdict: int, no_more: int, clear: int = 0) -> bytes:
-    return record(b"\x03" + struct.pack("<IIBIHIBI", proxy, ident, 0, exchange, verdict, 1, no_more, clear))
+def attempt_ended(
+    instance_id: int, call: int, exchange: int, outcome_code: int, concluded: int, cause_code: int = 0
+) -> bytes:
+    return record(
+        b"\x03" + struct.pack("<IIBIHIBI", instance_id, call, 0, exchange, outcome_code, 1, concluded, cause_code)
+    )
 
 
-def entry(exchange: int, number: int, state: int = 1, started: int = 0) -> bytes:
+def list_entry(exchange: int, number: int, state: int = 1, started: int = 0) -> bytes:
     return struct.pack("<QBIBBfH", started, state, exchange, 0, 0, 1.0, number)
 
 
@@ -90,17 +94,17 @@
 
 def session() -> bytes:
     raw = SETTINGS.encode()
-    tail = raw + entry(100, 0) + entry(101, 1) + entry(102, 2)
-    begin = [up(3, 0, len(raw)), ledger(2, len(raw), 3), known(3, 2, 2)]
+    tail = raw + list_entry(100, 0) + list_entry(101, 1) + list_entry(102, 2)
+    begin = [start_instance(3, 0, len(raw)), list_table(2, len(raw), 3), exchange_list(3, 2, 2)]
     now = 10_000_000
     return b"".join(
         [
             frame(now, []),
             frame(now, begin, tail),
-            frame(now + 5000, [told(3, 101, 20.0, 20.0), call(3, 70, 1.0, now + 3_000_000)]),
-            frame(now + 9000, [stands(3, 70, 101)]),
-            frame(now + 20000, [ended(3, 70, 101, 200, 1)]),
-            frame(now + 30000, [call(3, 71, 9.0, now + 3_000_000), known(3, 3, 0)]),
+            frame(now + 5000, [exchange_report(3, 101, 20.0, 20.0), call_offered(3, 70, 1.0, now + 3_000_000)]),
+            frame(now + 9000, [call_answered(3, 70, 101)]),
+            frame(now + 20000, [attempt_ended(3, 70, 101, 200, 1)]),
+            frame(now + 30000, [call_offered(3, 71, 9.0, now + 3_000_000), exchange_list(3, 3, 0)]),
         ]
     )
 
@@ -119,8 +123,8 @@
     assert len(got) == 6, got
     assert got[0] == (0, b""), got[0]
     assert got[2][0] == 1, got[2]
-    code, proxy, ident, exchange, timeout = struct.unpack_from("<BIIII", got[2][1])
-    assert (code, proxy, ident, exchange) == (66, 3, 70, 101) and timeout > 0, got[2]
+    code, instance_id, call, exchange, timeout = struct.unpack_from("<BIIII", got[2][1])
+    assert (code, instance_id, call, exchange) == (66, 3, 70, 101) and timeout > 0, got[2]
     assert got[3][0] == 0 and got[4][0] == 0, got[3:5]
     assert struct.unpack_from("<BII", got[5][1]) == (69, 3, 71), got[5]
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -273,19 +273,19 @@
         sock.settimeout(10)
         self.sock = sock
         self.decoder = p.message_decoder()
-        self.heard: deque[p.Message] = deque()
+        self.received: deque[p.Message] = deque()
 
     def send(self, *messages: p.Message) -> None:
         self.sock.sendall(b"".join(map(p.encode, messages)))
 
     def next(self) -> p.Message | None:
         """The next message, None at the end of the connection."""
-        while not self.heard:
+        while not self.received:
             data = self.sock.recv(65536)
             if not data:
                 return None
-            self.heard += self.decoder.feed(data)
-        return self.heard.popleft()
+            self.received += self.decoder.feed(data)
+        return self.received.popleft()
 
 
 class Program:
@@ -293,12 +293,12 @@
 
     def __init__(
         self,
-        far: int = 2,
+        remote_exchanges: int = 2,
         command: str | None = None,
         admin_port: int = 0,
-        early: tuple[signal.Signals, ...] = (),
+        early_signals: tuple[signal.Signals, ...] = (),
     ) -> None:
-        self.listeners = [socket.create_server(("127.0.0.1", 0)) for _ in range(far + 1)]
+        self.listeners = [socket.create_server(("127.0.0.1", 0)) for _ in range(remote_exchanges + 1)]
         self.channel = socket.create_server(("127.0.0.1", 0))
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.port = free.getsockname()[1]
@@ -325,11 +325,11 @@
         self.folder = tempfile.TemporaryDirectory()
         self.path = Path(self.folder.name) / "config.json"
         self.command = command or f"exec {sys.executable} -m latchturn"
-        self.old = self.process = self.start()
-        if early:
+        self.old_process = self.process = self.start()
+        if early_signals:
             while b"latchturn" not in (line := Path(f"/proc/{self.process.pid}/cmdline").read_bytes()) or b"sh" in line:
                 assert self.process.poll() is None
-        for number in early:
+        for number in early_signals:
             self.process.send_signal(number)
 
     def start(self) -> subprocess.Popen[str]:
@@ -346,31 +346,31 @@
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.admin_port = free.getsockname()[1]
         self.config["admin_addr"] = f"127.0.0.1:{self.admin_port}"
-        self.old, self.process = self.process, self.start()
-        self.feed, _ = self.channel.accept()
+        self.old_process, self.process = self.process, self.start()
+        self.channel_connection, _ = self.channel.accept()
         self.links = {k: self.accept(k) for k in self.links}
-        self.seconds = {k: self.accept(k) for k in self.seconds}
+        self.second_links = {k: self.accept(k) for k in self.second_links}
         for link in self.links.values():
             link.send(group_state(20, allowed=40))
-        while self.ask("PING") != ["OK serving"]:
+        while self.ask_admin("PING") != ["OK serving"]:
             pass
-        return self.old
+        return self.old_process
 
     def __enter__(self) -> Program:
-        self.feed, _ = self.channel.accept()
+        self.channel_connection, _ = self.channel.accept()
         numbers = range(1, len(self.listeners))
         self.links = {k: self.accept(k) for k in numbers}
-        self.seconds = {k: self.accept(k) for k in numbers}  # the other link to each exchange
+        self.second_links = {k: self.accept(k) for k in numbers}  # the other link to each exchange
         for link in self.links.values():
             link.send(group_state(20, allowed=40))
         return self
 
     def __exit__(self, *_: object) -> None:
-        for process in {self.process, self.old}:
+        for process in {self.process, self.old_process}:
             process.kill()
             process.communicate()
-        peers = (*self.links.values(), *self.seconds.values())
-        for sock in (*self.listeners, self.channel, self.feed, *(k.sock for k in peers)):
+        peers = (*self.links.values(), *self.second_links.values())
+        for sock in (*self.listeners, self.channel, self.channel_connection, *(k.sock for k in peers)):
             sock.close()
         self.folder.cleanup()
 
@@ -381,13 +381,13 @@
     def caller(self) -> Peer:
         return Peer(socket.create_connection(("127.0.0.1", self.port), 10))
 
-    def ask(self, line: str) -> list[str]:
+    def ask_admin(self, line: str) -> list[str]:
         """The lines that the admin listener answers to a line."""
         with socket.create_connection(("127.0.0.1", self.admin_port), 10) as sock:
             sock.sendall(line.encode() + b"\n")
             return sock.makefile().read().splitlines()
 
-    def log_line(self, text: str) -> str:
+    def wait_for_log_line(self, text: str) -> str:
         """The next line of the log that holds a text; AssertionError if none comes for 10 s or the log ends."""
         assert self.process.stderr is not None
         watch = threading.Timer(10, self.process.kill)
@@ -400,9 +400,9 @@
             watch.cancel()
         raise AssertionError(f"no line of the log holds {text!r}")
 
-    def tell_list(self, number: int, exchange: int, state: int, started_ms: int = 0) -> None:
+    def send_list_update(self, number: int, exchange: int, state: int, started_ms: int = 0) -> None:
         """One event on the command channel."""
         port = self.listeners[exchange].getsockname()[1]
         address = bytes([127, 0, 0, 1])
         record = p.RECORD.pack(100 + exchange, address, port, state, 0, 0, exchange, 1000, started_ms)
-        self.feed.sendall(p.FRAME_HEADER.pack(9 + len(record), number, 2) + record)
+        self.channel_connection.sendall(p.FRAME_HEADER.pack(9 + len(record), number, 2) + record)
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -36,22 +36,22 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "words"),
+    ("data", "message"),
     [
         (b"\x01\x02\x03", "truncated frame header at offset 0"),
         (struct.pack("<QII", 5, 100, 2), "truncated frame at offset 16"),
         (struct.pack("<QII", 5, 3, 0), "impossible frame length 3"),
         (struct.pack("<QII", 5, 4, 7), "7 records do not fit"),
         (frames.frame(5, [frames.record(b"\x63")]), "unknown event code 99 at offset 16"),
-        (frames.frame(5, [frames.call(8, 1, 1.0, 9)]), "instance 8, which is not started"),
-        (frames.frame(5, [frames.ledger(0, 0, 4)]), "list entries outside the frame"),
+        (frames.frame(5, [frames.call_offered(8, 1, 1.0, 9)]), "instance 8, which is not started"),
+        (frames.frame(5, [frames.list_table(0, 0, 4)]), "list entries outside the frame"),
     ],
 )
-def test_broken_frames_say_what_and_where(data: bytes, words: str) -> None:
+def test_broken_frames_say_what_and_where(data: bytes, message: str) -> None:
     done = run(data)
     assert done.returncode != 0
     lines = done.stderr.decode().strip().split("\n")
-    assert len(lines) == 1 and words in lines[0]
+    assert len(lines) == 1 and message in lines[0]
 
 
 @pytest.mark.parametrize(
@@ -67,11 +67,11 @@
 )
 def test_a_missing_or_unreadable_setting_is_a_fault_that_names_it(line: str, instead: str, key: str) -> None:
     raw = frames.SETTINGS.replace(line, instead).encode()
-    done = run(frames.frame(5, [frames.up(0, 0, len(raw))], raw))
+    done = run(frames.frame(5, [frames.start_instance(0, 0, len(raw))], raw))
     assert done.returncode == 0
     count, body = frames.replies(done.stdout)[0]
-    code, proxy, at, size = struct.unpack_from("<BIII", body)
-    assert (count, code, proxy) == (1, 73, 0)
+    code, instance_id, at, size = struct.unpack_from("<BIII", body)
+    assert (count, code, instance_id) == (1, 73, 0)
     assert key in body[24 + at : 24 + at + size].decode()
 
 
@@ -80,26 +80,26 @@
         raise KeyError("no such thing")
 
     monkeypatch.setattr(benchlink.Controller, "handle", broken)
-    link = benchlink.Link()
+    handler = benchlink.BatchHandler()
     raw = frames.SETTINGS.encode()
-    body = frames.up(0, 0, len(raw)) + frames.call(0, 1, 1.0, 99) + raw
-    count, out = frames.replies(link.batch(5, 2, body, 0))[0]
+    body = frames.start_instance(0, 0, len(raw)) + frames.call_offered(0, 1, 1.0, 99) + raw
+    count, out = frames.replies(handler.handle_batch(5, 2, body, 0))[0]
     assert count == 1 and out[0] == 73 and b"KeyError: 'no such thing'" in out
 
 
 def test_a_list_number_used_again_within_a_batch_is_read_in_order() -> None:
-    link = benchlink.Link()
+    handler = benchlink.BatchHandler()
     raw = frames.SETTINGS.encode()
-    tail = raw + frames.entry(100, 0) + frames.entry(101, 1) + frames.entry(101, 1, state=2)
+    tail = raw + frames.list_entry(100, 0) + frames.list_entry(101, 1) + frames.list_entry(101, 1, state=2)
     records = [
-        frames.up(0, 0, len(raw)),
-        frames.ledger(4, len(raw), 2),
-        frames.known(0, 2, 4),
-        frames.ledger(4, len(raw) + 42, 1),
-        frames.known(0, 0, 4),
+        frames.start_instance(0, 0, len(raw)),
+        frames.list_table(4, len(raw), 2),
+        frames.exchange_list(0, 2, 4),
+        frames.list_table(4, len(raw) + 42, 1),
+        frames.exchange_list(0, 0, 4),
     ]
-    link.batch(5, len(records), b"".join(records) + tail, 0)
-    known = link.instances[0].controller.by_number
-    assert known[0].ready and not known[1].ready
-    assert link.batch(6, 1, frames.record(b"\x07" + bytes(4)), 0) == bytes(8)
-    assert link.instances == {}
+    handler.handle_batch(5, len(records), b"".join(records) + tail, 0)
+    exchanges = handler.instances[0].controller.by_number
+    assert exchanges[0].ready and not exchanges[1].ready
+    assert handler.handle_batch(6, 1, frames.record(b"\x07" + bytes(4)), 0) == bytes(8)
+    assert handler.instances == {}
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -171,7 +171,7 @@
         calls = [((1 << 64) - 1 - k, 101) for k in range(limits.MAX_CALLS)]
 
         async def bequeath(old: socket.socket) -> None:
-            h.send_all(trio.socket.from_stdlib_socket(old), h.STANDING_CALL, calls)
+            h.send_messages(trio.socket.from_stdlib_socket(old), h.STANDING_CALL, calls)
 
         async def inherit(new: socket.socket) -> list[tuple[int, ...]]:
             words = h.receive(trio.socket.from_stdlib_socket(new))
@@ -187,7 +187,7 @@
 
     def test_a_process_that_reads_nothing_is_not_waited_for_long(self) -> None:
         async def say_too_much(old: socket.socket) -> None:
-            h.send_all(trio.socket.from_stdlib_socket(old), h.STANDING_CALL, [(k, 101) for k in range(200_000)])
+            h.send_messages(trio.socket.from_stdlib_socket(old), h.STANDING_CALL, [(k, 101) for k in range(200_000)])
 
         old, new = socket.socketpair()
         for sock in (old, new):
@@ -290,7 +290,7 @@
             self.assertEqual(caller.next(), p.Answer(1, b"from before"))
             self.assertIsNone(caller.next())
             self.assertEqual(old.wait(10), 0)
-            while "edge_gw.outstanding:2|g" not in program.ask("INFO"):
+            while "edge_gw.outstanding:2|g" not in program.ask_admin("INFO"):
                 pass
             # What stood in the old process ends on a link of the new one.
             program.links[1].send(p.Release(1, p.ReleaseCause.NORMAL))
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -68,7 +68,7 @@
     def test_rule_3_nothing_goes_to_an_exchange_that_is_gone(self) -> None:
         with Program() as program:
             caller = program.caller()
-            program.tell_list(2, 1, 2)
+            program.send_list_update(2, 1, 2)
             self.assertIsNone(program.links[1].next())  # closed: the program has taken the word in
             caller.send(set_up(1))
             self.assertIsInstance(caller.next(), p.Release)
@@ -79,8 +79,8 @@
             caller, link = program.caller(), program.links[1]
             link.send(group_state(80, size=80, allowed=40), p.HealthCheck(7))
             self.assertEqual(link.next(), p.HealthCheckResult(7, True))
-            program.tell_list(2, 1, 0, started_ms=time.time_ns() // 1_000_000)
-            program.tell_list(3, 2, 2)
+            program.send_list_update(2, 1, 0, started_ms=time.time_ns() // 1_000_000)
+            program.send_list_update(3, 2, 2)
             self.assertIsNone(program.links[2].next())  # closed: the program has taken both words in
 
             def answer_all() -> None:
@@ -101,13 +101,13 @@
         self.assertGreater(len(sent), 0)
 
     def test_rule_5_the_release_time_is_kept_after_a_reset(self) -> None:
-        with Program(far=1) as program:
+        with Program(remote_exchanges=1) as program:
             caller, link = program.caller(), program.links[1]
             caller.send(set_up(1))
             link.next()
             reset_at = time.monotonic()
             link.send(p.Release(1, p.ReleaseCause.TEMPORARY_FAILURE))
-            again = program.seconds[1]  # a link of its own, since the call's id is the same
+            again = program.second_links[1]  # a link of its own, since the call's id is the same
             self.assertEqual(again.next().call, 1)
             self.assertGreaterEqual(time.monotonic() - reset_at, 0.3)
 
@@ -152,8 +152,8 @@
             self.assertEqual(program.links[1].next(), p.Release(1, p.ReleaseCause.NORMAL))
 
     def test_a_set_up_that_waits_for_its_link_is_written_as_it_comes_up(self) -> None:
-        with Program(far=1) as program:
-            caller, cut = program.caller(), (program.links[1], program.seconds[1])
+        with Program(remote_exchanges=1) as program:
+            caller, cut = program.caller(), (program.links[1], program.second_links[1])
             for link in cut:
                 link.send(p.HealthCheck(7))
                 self.assertEqual(link.next(), p.HealthCheckResult(7, True))  # the program has taken all states in
@@ -166,7 +166,7 @@
             self.assertEqual(third.next().call, 1)
 
     def test_a_dead_exchange_ends_its_calls_for_their_callers(self) -> None:
-        with Program(far=1) as program:
+        with Program(remote_exchanges=1) as program:
             caller, link = program.caller(), program.links[1]
             caller.send(set_up(1))
             link.next()
@@ -182,8 +182,8 @@
             caller.send(set_up(1))
             program.links[1].next()
             program.process.send_signal(signal.SIGUSR1)
-            self.assertIn('"set_ups": 1', program.log_line("counters "))
-            self.assertIn(f"stream={-1}", program.log_line(f"attempt sent call={1:016x}"))
+            self.assertIn('"set_ups": 1', program.wait_for_log_line("counters "))
+            self.assertIn(f"stream={-1}", program.wait_for_log_line(f"attempt sent call={1:016x}"))
             program.process.send_signal(signal.SIGTERM)
             program.links[1].send(p.Answer(1, b"yes"))
             self.assertIsInstance(caller.next(), p.Answer)
@@ -198,7 +198,7 @@
             program.links[1].next()
             program.path.write_text("{}")
             program.process.send_signal(signal.SIGHUP)
-            program.log_line("the old one stays")
+            program.wait_for_log_line("the old one stays")
             with socket.create_server(("127.0.0.1", 0)) as channel:
                 channel.settimeout(10)
                 config = {**program.config, "channel": f"127.0.0.1:{channel.getsockname()[1]}", "name": "n1"}
@@ -207,19 +207,19 @@
                 feed, _ = channel.accept()
                 with feed:
                     self.assertEqual(feed.recv(8), p.encode_cursor(1))
-                    self.assertEqual(program.feed.recv(8), p.encode_cursor(1))
-                    self.assertEqual(program.feed.recv(8), b"")  # the old one is closed
+                    self.assertEqual(program.channel_connection.recv(8), p.encode_cursor(1))
+                    self.assertEqual(program.channel_connection.recv(8), b"")  # the old one is closed
                     program.links[1].send(p.Answer(1, b"yes"))
                     self.assertIsInstance(caller.next(), p.Answer)
-                    program.feed = feed
-                    program.tell_list(2, 1, 2)
+                    program.channel_connection = feed
+                    program.send_list_update(2, 1, 2)
                     self.assertIsNone(program.links[1].next())
-            program.log_line("another name counts from the next start")
+            program.wait_for_log_line("another name counts from the next start")
 
     def test_signals_that_come_while_it_starts_end_nothing_and_are_obeyed(self) -> None:
         deploy = tomllib.loads((Path(__file__).parent.parent / "deploy" / "balancer.toml").read_text())
         # From the moment at which the shell has become the interpreter, which has run no line of ours yet.
-        with Program(command=deploy["run"], early=(signal.SIGHUP, signal.SIGUSR1)) as program:
+        with Program(command=deploy["run"], early_signals=(signal.SIGHUP, signal.SIGUSR1)) as program:
             caller = program.caller()
             caller.send(p.HealthCheck(1))
             self.assertEqual(caller.next(), p.HealthCheckResult(1, True))
@@ -250,7 +250,7 @@
             line = ""
             while "accepts_failed" not in line:
                 program.process.send_signal(signal.SIGUSR1)
-                line = program.log_line("counters ")
+                line = program.wait_for_log_line("counters ")
             for caller in callers[:55]:
                 caller.sock.close()
             callers[-1].send(p.HealthCheck(2))
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -172,17 +172,17 @@
             idle, busy = program.caller(), program.caller()
             busy.send(set_up(1))
             self.assertEqual(program.links[1].next().call, 1)
-            while program.ask("PING") != ["OK serving"]:
+            while program.ask_admin("PING") != ["OK serving"]:
                 pass
-            self.assertEqual(program.ask("LAMEDUCK"), ["OK draining"])
-            self.assertEqual(program.ask("PING"), ["ERR draining"])
+            self.assertEqual(program.ask_admin("LAMEDUCK"), ["OK draining"])
+            self.assertEqual(program.ask_admin("PING"), ["ERR draining"])
             self.assertIsNone(idle.next())
             program.links[1].send(p.Answer(1, b"yes"))
             self.assertEqual(busy.next(), p.Answer(1, b"yes"))
             program.links[1].send(p.Release(1, p.ReleaseCause.NORMAL))
             self.assertEqual(busy.next(), p.Release(1, p.ReleaseCause.NORMAL))
             self.assertIsNone(busy.next())
-            self.assertEqual(program.ask("REJOIN"), ["OK serving"])
+            self.assertEqual(program.ask_admin("REJOIN"), ["OK serving"])
             again = program.caller()
             again.send(p.HealthCheck(2))
             self.assertEqual(again.next(), p.HealthCheckResult(2, True))
@@ -213,7 +213,7 @@
         with socket.create_server(("127.0.0.1", 0)) as taken:
             port = taken.getsockname()[1]
             with Program(admin_port=port) as program:
-                program.log_line("no admin listener")
+                program.wait_for_log_line("no admin listener")
                 caller = program.caller()
                 caller.send(set_up(1))
                 self.assertEqual(program.links[1].next().call, 1)
@@ -221,13 +221,13 @@
     def test_every_line_is_answered_beside_those_who_dawdle(self) -> None:
         with Program() as program:
             dawdlers = [socket.create_connection(("127.0.0.1", program.admin_port), 10) for _ in range(20)]
-            self.assertIn(program.ask("PING")[0], ("OK serving", "ERR starting"))
-            self.assertTrue(program.ask("HELP")[0].startswith("ERR "))
-            self.assertTrue(program.ask("x" * 5000)[0].startswith("ERR "))
+            self.assertIn(program.ask_admin("PING")[0], ("OK serving", "ERR starting"))
+            self.assertTrue(program.ask_admin("HELP")[0].startswith("ERR "))
+            self.assertTrue(program.ask_admin("x" * 5000)[0].startswith("ERR "))
             caller = program.caller()
             caller.send(set_up(1))
             program.links[1].next()
-            lines = program.ask("INFO")
+            lines = program.ask_admin("INFO")
             self.assertIn("edge_gw.outstanding:1|g", lines)
             self.assertEqual(lines[-1], "END")
             self.assertEqual(dawdlers[0].recv(10), b"")  # the oldest has made room
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -204,10 +204,10 @@
             for text, figure in (("{", "rejected"), (good, "applied")):
                 program.path.write_text(text)
                 program.process.send_signal(signal.SIGHUP)
-                while f"edge_gw.sighup_{figure}:1|c" not in program.ask("INFO"):
+                while f"edge_gw.sighup_{figure}:1|c" not in program.ask_admin("INFO"):
                     pass
             caller.send(of_class(1, "next_quote"), set_up(2))
             self.assertEqual({program.links[1].next().call for _ in range(2)}, {1, 2})
             program.links[1].send(p.Answer(1, b"yes"))
             self.assertEqual(caller.next(), p.Answer(1, b"yes"))
-            self.assertIn("edge_gw.succeeded.next_quote:1|c", program.ask("INFO"))
+            self.assertIn("edge_gw.succeeded.next_quote:1|c", program.ask_admin("INFO"))
