--- a/latchturn/brain.py
+++ b/latchturn/brain.py
@@ -51,12 +51,12 @@
 BACKS_MANY = 0.5  # share of two-leg set-ups turned back from which proven tandems come first
 COLD_TURN = 0.5  # share of the time between two turns in which a turn may be used
 COLD_SAFETY = 0.7  # share used of what pushes a cold processor over: set-ups bunch, redials come on top
-NUMBERS_KEPT = 500  # busy numbers remembered
-CALLERS_KEPT = 4000  # called numbers remembered with their caller's first try
+MAX_BUSY_NUMBERS = 500  # busy numbers remembered
+MAX_REDIAL_RECORDS = 4000  # called numbers remembered with their caller's first try
 LATE_RESERVE = 0.1  # of the group left free by calls past their aim, which earn little and hold as long
 
 
-class Group:
+class TrunkGroup:
     """Upper limits and guaranteed minimums on one own trunk group (Panel 3 with the design's test).
 
     Two classes, both counted in circuits: direct calls of every width, and two-leg calls. One direct
@@ -64,79 +64,81 @@
     """
 
     def __init__(self) -> None:
-        self.told = False
+        self.size_known = False
         self.size = 0
-        self.told_free = 0
-        self.count = [0, 0]
-        self.low = [0, 0]
-        self.high = [NO_LIMIT, 0]
-        self.spare = 0  # F of the paper
+        self.free_circuits = 0
+        self.in_use = [0, 0]
+        self.minimum = [0, 0]
+        self.limit = [NO_LIMIT, 0]
+        self.unreserved = 0  # F of the paper
 
     def resize(self, size: int) -> None:
         """Set bounds for a size; standing calls keep their place."""
-        self.told = True
+        self.size_known = True
         self.size = size
-        self.low[DIRECT] = min(size, max(1, int(MINIMUM_SHARE * size)))
-        self.high[TWO_LEG] = min(max(1, int(TWO_LEG_SHARE * size)), max(0, size - 1))
-        self.spare = size - sum(max(low, n) for low, n in zip(self.low, self.count))
+        self.minimum[DIRECT] = min(size, max(1, int(MINIMUM_SHARE * size)))
+        self.limit[TWO_LEG] = min(max(1, int(TWO_LEG_SHARE * size)), max(0, size - 1))
+        self.unreserved = size - sum(max(low, n) for low, n in zip(self.minimum, self.in_use))
 
     def admits(self, cls: int, width: int) -> bool:
         """The design's test, and the told free circuits."""
-        if not self.told:
+        if not self.size_known:
             # Exception, acts until the first word of the circuits: direct calls try, two-leg calls do not.
             return cls == DIRECT
-        if self.count[cls] + width > self.high[cls]:
+        if self.in_use[cls] + width > self.limit[cls]:
             return False
         # Exception, acts while F is below nought: a shrunken group does not fit the minimums, so the told
         # free circuits alone decide for direct calls.
-        shrunken = self.spare < 0 and cls == DIRECT
-        if not (self.count[cls] < self.low[cls] or width <= self.spare or shrunken):
+        shrunken = self.unreserved < 0 and cls == DIRECT
+        if not (self.in_use[cls] < self.minimum[cls] or width <= self.unreserved or shrunken):
             return False
-        unfilled = max(0, self.low[DIRECT] - self.count[DIRECT]) if cls == TWO_LEG else 0
-        return self.told_free >= width + unfilled
+        unfilled = max(0, self.minimum[DIRECT] - self.in_use[DIRECT]) if cls == TWO_LEG else 0
+        return self.free_circuits >= width + unfilled
 
     def seize(self, cls: int, width: int) -> None:
         """Enter a call."""
-        self.told_free -= width
-        before = max(self.count[cls], self.low[cls])
-        self.count[cls] += width
-        self.spare -= max(self.count[cls], self.low[cls]) - before
+        self.free_circuits -= width
+        before = max(self.in_use[cls], self.minimum[cls])
+        self.in_use[cls] += width
+        self.unreserved -= max(self.in_use[cls], self.minimum[cls]) - before
 
     def release(self, cls: int, width: int) -> None:
         """Take a call out; its circuits are free when they are told so."""
-        before = max(self.count[cls], self.low[cls])
-        self.count[cls] -= width
-        self.spare += before - max(self.count[cls], self.low[cls])
+        before = max(self.in_use[cls], self.minimum[cls])
+        self.in_use[cls] -= width
+        self.unreserved += before - max(self.in_use[cls], self.minimum[cls])
 
 
 class Exchange:
     """What is known of one far exchange."""
 
-    def __init__(self, exchange: int, number: int, group: Group) -> None:
-        self.exchange = exchange
+    def __init__(self, exchange: int, number: int, group: TrunkGroup) -> None:
+        self.exchange_id = exchange
         self.number = number
         self.group = group
         self.ready = False
-        self.cold_until = 0
-        self.out = 0  # attempts out that are not answered yet
+        self.warm_up_until = 0
+        self.outstanding = 0  # attempts out that are not answered yet
         self.window = WINDOW_START
-        self.shrunk_us = 0
-        self.hold_until = 0  # no set-up before this (named waits, suspicion)
-        self.silences = 0
-        self.answered_us = 0
+        self.last_shrunk_us = 0
+        self.blocked_until = 0  # no set-up before this (named waits, suspicion)
+        self.consecutive_unanswered = 0
+        self.last_answer_us = 0
         self.throttle_share = 0.0
-        self.can_take = 0.0  # most set-ups a second that it ever reported
-        self.turned_back: dict[int, tuple[int, int]] = {}  # destination number -> times in a row, until when
-        self.reaches: set[int] = set()  # destinations to which a call over this tandem has stood
-        self.cold_next = 0  # no set-up before this while it is cold
+        self.max_reported_rate = 0.0  # most set-ups a second that it ever reported
+        self.tandem_back_offs: dict[int, tuple[int, int]] = {}  # destination number -> times in a row, until when
+        self.reached_destinations: set[int] = set()  # destinations to which a call over this tandem has stood
+        self.next_turn_us = 0  # no set-up before this while it is cold
 
-    def open(self, now: int) -> bool:
+    def accepts_set_up(self, now: int) -> bool:
         """Whether a set-up may be sent at all: list state, window, suspicion."""
-        return self.ready and now >= self.hold_until and self.out < self.window
+        return self.ready and now >= self.blocked_until and self.outstanding < self.window
 
-    def pressed(self) -> bool:
+    def congested(self) -> bool:
         """Whether its processor shows pressure, by its answers or by its reports."""
-        return self.window < TWO_LEG_WINDOW or self.throttle_share >= HOLD_BACK_PRESSED or self.silences > 0
+        return (
+            self.window < TWO_LEG_WINDOW or self.throttle_share >= HOLD_BACK_PRESSED or self.consecutive_unanswered > 0
+        )
 
 
 @dataclass(slots=True)
@@ -170,23 +172,23 @@
     def __init__(self, settings: i.Settings, seed: int) -> None:
         self._use(settings)
         self.random = random.Random(seed)
-        self.backs = 0.0  # share of two-leg set-ups that came back, smoothed
-        self.usual_us = USUAL_START * self.shortest_target_us  # set-up time of direct calls, smoothed
+        self.tandem_refusal_share = 0.0  # share of two-leg set-ups that came back, smoothed
+        self.usual_set_up_us = USUAL_START * self.shortest_target_us  # set-up time of direct calls, smoothed
         number = settings.own_number
         # Place among all proxies, from 0 to 1: numbers in a row lie evenly at steps of the golden ratio.
-        self.place = number * 0.618034 % 1.0 if number >= 0 else self.random.random()
+        self.turn_offset = number * 0.618034 % 1.0 if number >= 0 else self.random.random()
         self.exchanges: dict[int, Exchange] = {}
-        self.groups: dict[int, Group] = {}
+        self.groups: dict[int, TrunkGroup] = {}
         self.by_number: dict[int, Exchange] = {}
         self.calls: dict[int, Call] = {}
-        self.lines: dict[int, list[Call]] = {}  # calls that wait, by destination
+        self.queues: dict[int, list[Call]] = {}  # calls that wait, by destination
         self.timers: dict[int, int] = {}  # token -> call, -1 for the list
         self.next_token = 1
-        self.busy: dict[int, int] = {}  # called number -> when it may be tried again
-        self.failed: dict[int, int] = {}  # called number -> first try of the caller whose try failed last
-        self.marked = False  # whether redials have been seen to be marked
-        self.offers = 0.0  # own first tries a second, smoothed over the warm-up time
-        self.offers_us = 0
+        self.busy_numbers: dict[int, int] = {}  # called number -> when it may be tried again
+        self.redial_records: dict[int, int] = {}  # called number -> first try of the caller whose try failed last
+        self.redials_marked = False  # whether redials have been seen to be marked
+        self.first_dial_rate = 0.0  # own first tries a second, smoothed over the warm-up time
+        self.last_first_dial_us = 0
         self.started = False
         self.actions: list[i.Action] = []
         self.now = 0
@@ -194,7 +196,7 @@
     def _use(self, settings: i.Settings) -> None:
         validate(settings)
         self.settings = settings
-        self.pools = settings.topology is i.Topology.POOLS
+        self.uses_pools = settings.topology is i.Topology.POOLS
         self.shortest_target_us = min(c.target_us for c in settings.classes)
 
     def handle(self, now_us: int, event: i.Event) -> list[i.Action]:
@@ -221,13 +223,13 @@
             self._left(event)
         elif isinstance(event, i.SettingsChanged):
             self._use(event.settings)
-            for number in list(self.lines):  # calls in line may be out of attempts now
+            for number in list(self.queues):  # calls in line may be out of attempts now
                 self._serve(number)
         return self.actions
 
-    def avoided(self, now_us: int) -> int:
+    def backed_off(self, now_us: int) -> int:
         """How many listed exchanges are sent nothing for now, since they were silent or full."""
-        return sum(e.hold_until > now_us for e in self.exchanges.values())
+        return sum(e.blocked_until > now_us for e in self.exchanges.values())
 
     # --- the exchange list ---
 
@@ -247,9 +249,9 @@
         for exchange in self.exchanges.values():
             if exchange.ready or exchange.number not in self.by_number:
                 self.by_number[exchange.number] = exchange
-        for number in [n for n, g in self.groups.items() if n not in self.by_number and not any(g.count)]:
+        for number in [n for n, g in self.groups.items() if n not in self.by_number and not any(g.in_use)]:
             del self.groups[number]
-        for number in list(self.lines):
+        for number in list(self.queues):
             self._serve(number)
 
     def _forget(self, ident: int) -> None:
@@ -265,16 +267,16 @@
             self._forget(entry.exchange)
             return
         if known is None:
-            group = self.groups.setdefault(entry.number, Group())
+            group = self.groups.setdefault(entry.number, TrunkGroup())
             known = self.exchanges[entry.exchange] = Exchange(entry.exchange, entry.number, group)
         ready = entry.state is i.ListState.READY
-        cold_until = entry.started_us + self.settings.warm_up_us if entry.started_us else 0
-        if cold_until != known.cold_until:
-            known.cold_until = cold_until
-            if cold_until > self.now:
+        warm_up_until = entry.started_us + self.settings.warm_up_us if entry.started_us else 0
+        if warm_up_until != known.warm_up_until:
+            known.warm_up_until = warm_up_until
+            if warm_up_until > self.now:
                 known.window = WINDOW_START
-                known.hold_until = known.silences = 0
-                known.cold_next = self._cold_turn(known, self.now, self._cold_gap())
+                known.blocked_until = known.consecutive_unanswered = 0
+                known.next_turn_us = self._cold_turn(known, self.now, self._warm_up_gap())
         if known.ready and not ready:
             self._log(f"exchange {known.number} is not to be sent to")
         known.ready = ready
@@ -289,15 +291,15 @@
             return
         cls = self.settings.classes[offer.class_index]
         call = Call(offer, cls, self._first_try(offer), self.settings.max_attempts)
-        if offer.destination == self.settings.own_number and not self.pools:
+        if offer.destination == self.settings.own_number and not self.uses_pools:
             self.actions.append(i.Refuse(offer.call, 0, Reason.OWN_EXCHANGE))
             return
         self.calls[offer.call] = call
         if not offer.transit and call.first_us == self.now:
-            gap = max(1, self.now - self.offers_us)
+            gap = max(1, self.now - self.last_first_dial_us)
             fade = min(1.0, gap / self.settings.warm_up_us)
-            self.offers += fade * (1e6 / gap - self.offers)
-            self.offers_us = self.now
+            self.first_dial_rate += fade * (1e6 / gap - self.first_dial_rate)
+            self.last_first_dial_us = self.now
         if self._number_busy(offer.called_number):
             self._refuse(call, self.settings.max_retry_after_us, Reason.NUMBER_BUSY)
         elif not self._route(call):
@@ -306,7 +308,7 @@
             elif self._late(call):
                 self._refuse(call, self._stay_away(call), Reason.PAST_AIM)
             else:
-                self._wait(call)
+                self._enqueue(call)
 
     def _first_try(self, offer: i.CallOffered) -> int:
         """When this caller first tried: a call to a number whose last try failed is that caller again.
@@ -316,17 +318,17 @@
         """
         if offer.transit:
             return self.now
-        self.marked = self.marked or offer.redialled
-        first = self.failed.pop(offer.called_number, self.now)
+        self.redials_marked = self.redials_marked or offer.redialled
+        first = self.redial_records.pop(offer.called_number, self.now)
         give_up = self.settings.classes[offer.class_index].give_up_us
-        fresh = offer.cut_before or (self.marked and not offer.redialled)
+        fresh = offer.cut_before or (self.redials_marked and not offer.redialled)
         return self.now if fresh or self.now - first > give_up else first
 
     def _failed(self, call: Call) -> None:
         """Forget a call that did not stand, but for when its caller first tried."""
         del self.calls[call.offer.call]
         if call.offer.called_number and not call.offer.transit:
-            _keep(self.failed, call.offer.called_number, call.first_us, CALLERS_KEPT)
+            _keep(self.redial_records, call.offer.called_number, call.first_us, MAX_REDIAL_RECORDS)
 
     def _late(self, call: Call) -> bool:
         return self.now - call.first_us >= call.cls.target_us
@@ -334,7 +336,7 @@
     def _route(self, call: Call) -> bool:
         """Send the call if the ordinary path and the guards admit it."""
         offer = call.offer
-        if self._used_up(call) or self.now < call.not_before or self._hopeless(call):
+        if self._attempts_used_up(call) or self.now < call.not_before or self._hopeless(call):
             return False
         target = self.by_number.get(offer.destination)
         if target is None or not target.ready:
@@ -343,15 +345,15 @@
         cls = TWO_LEG if offer.transit else DIRECT
         late = self._late(call) and not offer.transit
         reserve = LATE_RESERVE * group.size
-        if late and (target.pressed() or group.told_free - offer.width < reserve):
+        if late and (target.congested() or group.free_circuits - offer.width < reserve):
             return False
-        closed = not target.open(self.now) or (target.pressed() if offer.transit else self._yields(call))
+        closed = not target.accepts_set_up(self.now) or (target.congested() if offer.transit else self._yields(call))
         closed = closed or (self._cold(target) and not self._cold_open(target))
         if not closed and group.admits(cls, offer.width):
             begin = self.now if late else call.first_us
             self._send(call, target, cls, int(begin + call.cls.target_us * DIRECT_TIMEOUT - self.now))
             return True
-        if offer.transit or late or target.pressed() or self._cold(target):
+        if offer.transit or late or target.congested() or self._cold(target):
             return False
         best = self._tandem(call)
         if best is None:
@@ -367,22 +369,22 @@
         """
         offer = call.offer
         best, best_rank = None, (False, 0)
-        proven_first = self.backs >= BACKS_MANY
+        proven_first = self.tandem_refusal_share >= BACKS_MANY
         for number, tandem in self.by_number.items():
             if number in (offer.destination, self.settings.own_number) or number in call.tried:
                 continue
-            if self.pools and number not in call.cls.pools:
+            if self.uses_pools and number not in call.cls.pools:
                 continue
-            if not tandem.open(self.now) or tandem.pressed() or self._cold(tandem):
+            if not tandem.accepts_set_up(self.now) or tandem.congested() or self._cold(tandem):
                 continue
-            if tandem.turned_back.get(offer.destination, NEVER)[1] > self.now:
+            if tandem.tandem_back_offs.get(offer.destination, NEVER)[1] > self.now:
                 continue
             if not tandem.group.admits(TWO_LEG, offer.width):
                 continue
-            proven = proven_first and offer.destination in tandem.reaches
+            proven = proven_first and offer.destination in tandem.reached_destinations
             if proven_first and not proven and call.tried:
                 continue
-            rank = (proven, tandem.group.told_free)
+            rank = (proven, tandem.group.free_circuits)
             if best is None or rank > best_rank:
                 best, best_rank = tandem, rank
         return best
@@ -391,9 +393,9 @@
         """Send a set-up and enter it; the time-out is kept between the least that works and the deadline."""
         to.group.seize(cls, call.offer.width)
         if self._cold(to):
-            gap = self._cold_gap()
-            to.cold_next = self._cold_turn(to, self.now + gap // 2, gap)
-        to.out += 1
+            gap = self._warm_up_gap()
+            to.next_turn_us = self._cold_turn(to, self.now + gap // 2, gap)
+        to.outstanding += 1
         call.at, call.two_leg, call.sent_us, call.out = to, cls == TWO_LEG, self.now, True
         call.attempts += 1
         if call.two_leg and not call.offer.transit:
@@ -401,26 +403,26 @@
         if call.waiting:
             self._leave_line(call)
         timeout = min(call.offer.deadline_us - self.now, max(timeout, int(MIN_TIMEOUT * self.shortest_target_us)))
-        self.actions.append(i.SendSetup(call.offer.call, to.exchange, timeout))
+        self.actions.append(i.SendSetup(call.offer.call, to.exchange_id, timeout))
 
-    def _used_up(self, call: Call) -> bool:
+    def _attempts_used_up(self, call: Call) -> bool:
         """Whether a call may have no further attempt, by what it was offered with or what counts now."""
         return call.attempts >= min(call.most, self.settings.max_attempts)
 
     def _hopeless(self, call: Call) -> bool:
         """Whether its caller leaves too soon for an attempt; where set-ups are quick little time will do."""
-        return call.offer.deadline_us - self.now < int(LEAST_TIME * self.usual_us)
+        return call.offer.deadline_us - self.now < int(LEAST_TIME * self.usual_set_up_us)
 
-    def _wait(self, call: Call) -> None:
+    def _enqueue(self, call: Call) -> None:
         """Hold a call in line until a circuit or a window opens, or its aim or its deadline is near."""
         aim_near = call.first_us + int(call.cls.target_us * WAIT_SHARE)
-        least = max(int(ANSWER_MARGIN * self.shortest_target_us), int(LEAST_TIME * self.usual_us))
+        least = max(int(ANSWER_MARGIN * self.shortest_target_us), int(LEAST_TIME * self.usual_set_up_us))
         call.until = min(aim_near, call.offer.deadline_us - least)
         if reason := self._given_up(call):
             self._refuse(call, self._stay_away(call), reason)
             return
         call.waiting = True
-        self.lines.setdefault(call.offer.destination, []).append(call)
+        self.queues.setdefault(call.offer.destination, []).append(call)
         self._set_timer(call.until - self.now, call.offer.call)
         opens = self._opens(call)
         if self.now < opens:
@@ -435,7 +437,7 @@
         target = self.by_number.get(call.offer.destination)
         if target is None or not target.ready:
             return Reason.DESTINATION_NOT_READY
-        if self._used_up(call):
+        if self._attempts_used_up(call):
             return Reason.ATTEMPTS_USED
         if self._hopeless(call):
             return Reason.TOO_LITTLE_TIME
@@ -446,26 +448,26 @@
     def _opens(self, call: Call) -> int:
         """The first moment at which a call may be sent, as far as that is known now."""
         target = self.by_number[call.offer.destination]
-        opens = max(call.not_before, target.cold_next if self._cold(target) else 0)
+        opens = max(call.not_before, target.next_turn_us if self._cold(target) else 0)
         # An answer that is still out may end a pause early; under pressure no tandem serves in its place.
-        paused = target.pressed() and target.out == 0
-        return max(opens, target.hold_until) if paused else opens
+        paused = target.congested() and target.outstanding == 0
+        return max(opens, target.blocked_until) if paused else opens
 
     def _stay_away(self, call: Call) -> int:
         """When a refused caller does well to come back: once a circuit is likely to have come free, as
         standing calls end one by one, and a known pause is over; as late as callers allow where no circuit
         is likely within its aim."""
         target = self.by_number.get(call.offer.destination)
-        if target is None or not target.ready or not target.group.told:
+        if target is None or not target.ready or not target.group.size_known:
             return self.settings.max_retry_after_us
         group = target.group
-        short = max(0, call.offer.width - group.told_free)
-        frees = int(short * call.cls.holding_us / max(1, group.size - group.told_free))
+        short = max(0, call.offer.width - group.free_circuits)
+        frees = int(short * call.cls.holding_us / max(1, group.size - group.free_circuits))
         if self.now + frees >= call.first_us + call.cls.target_us:
             return self.settings.max_retry_after_us
         # Guards against callers that come too late for their aim where nothing but chance stood in the way:
         # an exchange that fails set-ups at random has used the call's attempts up.
-        soon = int(SOON * self.shortest_target_us) if self._used_up(call) else 0
+        soon = int(SOON * self.shortest_target_us) if self._attempts_used_up(call) else 0
         return max(frees, self._opens(call) - self.now, soon)
 
     def _yields(self, call: Call) -> bool:
@@ -473,19 +475,19 @@
 
         Guards against narrow calls that take every freed circuit before a wide one can have all of its own.
         """
-        line = self.lines.get(call.offer.destination, ())
+        line = self.queues.get(call.offer.destination, ())
         return any(c.offer.width > call.offer.width and c.value_per_circuit >= call.value_per_circuit for c in line)
 
     def _leave_line(self, call: Call) -> None:
         call.waiting = False
-        line = self.lines[call.offer.destination]
+        line = self.queues[call.offer.destination]
         line.remove(call)
         if not line:
-            del self.lines[call.offer.destination]
+            del self.queues[call.offer.destination]
 
     def _serve(self, number: int) -> None:
         """Send waiting calls for a destination, the most worth for its circuits first."""
-        line = self.lines.get(number)
+        line = self.queues.get(number)
         if not line:
             return
         blocked = False
@@ -507,33 +509,33 @@
         if call is None or not call.out or call.at is None:
             return
         call.out = False
-        call.at.out -= 1
+        call.at.outstanding -= 1
         self._answered(call, call.at)
-        self.busy.pop(call.offer.called_number, None)
+        self.busy_numbers.pop(call.offer.called_number, None)
         if call.two_leg:
-            call.at.turned_back.pop(call.offer.destination, None)
-            call.at.reaches.add(call.offer.destination)
-            self.backs -= ANSWER_FADE * self.backs
+            call.at.tandem_back_offs.pop(call.offer.destination, None)
+            call.at.reached_destinations.add(call.offer.destination)
+            self.tandem_refusal_share -= ANSWER_FADE * self.tandem_refusal_share
         self._serve(call.at.number)
 
     def _answered(self, call: Call, at: Exchange) -> None:
         """An answer came: judge the far processor by how long it took."""
-        at.answered_us = self.now
-        if at.silences >= SILENCES:
-            at.hold_until = 0
+        at.last_answer_us = self.now
+        if at.consecutive_unanswered >= SILENCES:
+            at.blocked_until = 0
             self._log(f"exchange {at.number} answers again")
-        at.silences = 0
+        at.consecutive_unanswered = 0
         took = self.now - call.sent_us
         if not call.two_leg:
-            self.usual_us += ANSWER_FADE * (took - self.usual_us)
+            self.usual_set_up_us += ANSWER_FADE * (took - self.usual_set_up_us)
         if took <= self.shortest_target_us * PROMPT_SHARE:
             at.window = min(WINDOW_MOST, at.window + 1.0)
         elif not call.two_leg or call.offer.transit:
             self._shrink(at, call.sent_us)
 
     def _shrink(self, at: Exchange, sent_us: int) -> None:
-        if sent_us >= at.shrunk_us:
-            at.shrunk_us = self.now
+        if sent_us >= at.last_shrunk_us:
+            at.last_shrunk_us = self.now
             at.window = max(1.0, at.window * SHRINK)
 
     def _ended(self, event: i.AttemptEnded) -> None:
@@ -550,7 +552,7 @@
         if outcome is i.Outcome.NOT_SENT and cause is i.Cause.NO_CIRCUIT:
             # Guards against a call's attempts being spent at once on a group that the far end has just
             # filled, where the word of it comes later than the refusal.
-            at.group.told_free = min(at.group.told_free, call.offer.width - 1)
+            at.group.free_circuits = min(at.group.free_circuits, call.offer.width - 1)
         if was_out:
             self._judge(call, at, event)
         if outcome in (i.Outcome.TIMED_OUT, i.Outcome.CUT, i.Outcome.CANCELLED):
@@ -575,16 +577,16 @@
             self._failed(call)
             self.actions.append(i.Fail(event.call, Reason.TOO_LITTLE_TIME))
         elif call.not_before > self.now or not self._route(call):
-            self._wait(call)
+            self._enqueue(call)
         self._serve(at.number)
 
     def _judge(self, call: Call, at: Exchange, event: i.AttemptEnded) -> None:
         """What the end of an attempt that did not stand tells of the far end."""
         call.out = False
-        at.out -= 1
+        at.outstanding -= 1
         outcome, cause = event.outcome, event.cause
         if outcome in (i.Outcome.TIMED_OUT, i.Outcome.UNREACHABLE):
-            if outcome is i.Outcome.UNREACHABLE or at.answered_us < call.sent_us:
+            if outcome is i.Outcome.UNREACHABLE or at.last_answer_us < call.sent_us:
                 self._silent(at)
             if not call.two_leg:
                 self._shrink(at, call.sent_us)
@@ -592,13 +594,16 @@
             self._answered(call, at)
             if cause is i.Cause.PROCESSOR_FULL:
                 at.window = 1.0
-                at.hold_until = max(at.hold_until, self.now + max(event.wait_us, self.settings.release_us))
+                at.blocked_until = max(at.blocked_until, self.now + max(event.wait_us, self.settings.release_us))
             elif cause in (i.Cause.REFUSED_BY_TANDEM, i.Cause.DESTINATION_PROCESSOR_FULL) and call.two_leg:
-                self.backs += ANSWER_FADE * (1.0 - self.backs)
+                self.tandem_refusal_share += ANSWER_FADE * (1.0 - self.tandem_refusal_share)
                 # Guards against tandems whose onward group stays full: their turn-backs feed processors.
-                times = at.turned_back.get(call.offer.destination, NEVER)[0]
+                times = at.tandem_back_offs.get(call.offer.destination, NEVER)[0]
                 pause = min(TURN_BACK_MOST, TURN_BACK_FIRST * 2 ** min(times, 20))
-                at.turned_back[call.offer.destination] = (times + 1, self.now + int(self.shortest_target_us * pause))
+                at.tandem_back_offs[call.offer.destination] = (
+                    times + 1,
+                    self.now + int(self.shortest_target_us * pause),
+                )
             if cause is i.Cause.DESTINATION_PROCESSOR_FULL:
                 target = self.by_number.get(call.offer.destination)
                 if target is not None:
@@ -608,21 +613,21 @@
 
     def _silent(self, at: Exchange) -> None:
         """Guards against hung and cut-off exchanges: silence spaces further set-ups out."""
-        at.silences += 1
-        if at.silences >= SILENCES:
-            pause = min(RETRY_MOST, RETRY_FIRST * 2 ** min(at.silences - SILENCES, 20))
+        at.consecutive_unanswered += 1
+        if at.consecutive_unanswered >= SILENCES:
+            pause = min(RETRY_MOST, RETRY_FIRST * 2 ** min(at.consecutive_unanswered - SILENCES, 20))
             at.window = 1.0
-            at.hold_until = max(at.hold_until, self.now + int(pause * self.settings.release_us))
-            if at.silences == SILENCES:
+            at.blocked_until = max(at.blocked_until, self.now + int(pause * self.settings.release_us))
+            if at.consecutive_unanswered == SILENCES:
                 self._log(f"exchange {at.number} is silent, tried sparingly")
 
     def _mark_busy(self, called_number: int) -> None:
         gap = self.shortest_target_us * BUSY_GAP * self.settings.controllers
-        _keep(self.busy, called_number, self.now + int(gap), NUMBERS_KEPT)
+        _keep(self.busy_numbers, called_number, self.now + int(gap), MAX_BUSY_NUMBERS)
 
     def _number_busy(self, called_number: int) -> bool:
         """Guards against a hot number: after 'all lines busy' one set-up in each gap may try it."""
-        until = self.busy.get(called_number)
+        until = self.busy_numbers.get(called_number)
         if until is None or self.now < until:
             return until is not None
         self._mark_busy(called_number)
@@ -667,17 +672,17 @@
 
     def _report(self, far: Exchange, report: i.LoadReport) -> None:
         group = far.group
-        if report.size is not None and (report.size != group.size or not group.told):
+        if report.size is not None and (report.size != group.size or not group.size_known):
             group.resize(report.size)
         if report.free is not None:
-            group.told_free = report.free
+            group.free_circuits = report.free
         if report.throttle_share is not None:
             far.throttle_share = report.throttle_share
         if report.setups_per_s is not None:
-            far.can_take = max(far.can_take, report.setups_per_s)
+            far.max_reported_rate = max(far.max_reported_rate, report.setups_per_s)
 
     def _cold(self, far: Exchange) -> bool:
-        return far.cold_until > self.now
+        return far.warm_up_until > self.now
 
     def _cold_turn(self, far: Exchange, after: int, gap: int) -> int:
         """The next turn of this proxy at a processor just started.
@@ -686,28 +691,28 @@
         gap, at a place in it that hangs on its number: turns of all proxies lie evenly, from the first on,
         however late each hears of the start and whether it restarts itself.
         """
-        start = far.cold_until - self.settings.warm_up_us + int(self.place * gap)
+        start = far.warm_up_until - self.settings.warm_up_us + int(self.turn_offset * gap)
         return start + -((start - after) // gap) * gap
 
     def _cold_open(self, far: Exchange) -> bool:
         """Whether it is this proxy's turn at a cold processor: a turn not used in time is lost, so that
         calls that come to all proxies at one moment cannot use all turns at once."""
-        if self.now < far.cold_next:
+        if self.now < far.next_turn_us:
             return False
-        gap = self._cold_gap()
-        if self.now >= far.cold_next + COLD_TURN * gap:
-            far.cold_next = self._cold_turn(far, self.now, gap)
-        return self.now >= far.cold_next
+        gap = self._warm_up_gap()
+        if self.now >= far.next_turn_us + COLD_TURN * gap:
+            far.next_turn_us = self._cold_turn(far, self.now, gap)
+        return self.now >= far.next_turn_us
 
-    def _cold_gap(self) -> int:
+    def _warm_up_gap(self) -> int:
         """Time between two turns at a cold processor, such that all proxies' turns fit what it can do.
 
         What it takes once warm is judged by the middle one of the exchanges' largest reports, else by the
         own calls: an exchange carries at least as many calls in as out, and its processor works for both.
         """
         s = self.settings
-        told = sorted(e.can_take for e in self.exchanges.values() if e.can_take > 0)
-        takes = 2.0 * self.offers + (told[len(told) // 2] if told else self.offers)
+        told = sorted(e.max_reported_rate for e in self.exchanges.values() if e.max_reported_rate > 0)
+        takes = 2.0 * self.first_dial_rate + (told[len(told) // 2] if told else self.first_dial_rate)
         each = COLD_SAFETY * s.collapse_multiple * s.cold_start_share * takes / s.controllers
         return int(1e6 / each) if each > 0.0 else 2 * s.warm_up_us
 
--- a/latchturn/checking/plants.py
+++ b/latchturn/checking/plants.py
@@ -99,7 +99,7 @@
         return changed
 
     _change(Controller, "_route", make)
-    _change(Controller, "_wait", make)
+    _change(Controller, "_enqueue", make)
 
 
 @_fault("mini", "a reset told by the exchange is taken for an ordinary refusal")
@@ -206,7 +206,7 @@
 
 @_fault("tries", "the module counts no attempt as the last")
 def _attempts_not_counted() -> None:
-    _change(Controller, "_used_up", lambda _: lambda s, call: False)
+    _change(Controller, "_attempts_used_up", lambda _: lambda s, call: False)
 
 
 @_fault("two", "a refusal is held back until the caller's wait is nearly over")
--- a/latchturn/checking/remains.py
+++ b/latchturn/checking/remains.py
@@ -19,12 +19,12 @@
     if exited:
         return []
     found += [f"call {k} in the module" for k in module.calls]
-    found += [f"a line for destination {k}" for k, line in module.lines.items() if line]
+    found += [f"a line for destination {k}" for k, line in module.queues.items() if line]
     found += [f"{len(module.timers)} tokens of the module"] * bool(module.timers)
     for far in module.exchanges.values():
-        found += [f"{far.out} set-ups counted as out at exchange {far.exchange}"] * bool(far.out)
+        found += [f"{far.outstanding} set-ups counted as out at exchange {far.exchange_id}"] * bool(far.outstanding)
     for number, group in module.groups.items():
-        found += [f"circuits of group {number} in use: {group.count}"] * any(group.count)
+        found += [f"circuits of group {number} in use: {group.in_use}"] * any(group.in_use)
     found += [f"ended call {k} remembered" for k in session.calls.over]
     for stream in (*session.callers.by_stream.values(), *session.links.by_stream.values()):
         if stream.up and (stream.outbox or stream.in_flight):
--- a/latchturn/checking/states.py
+++ b/latchturn/checking/states.py
@@ -76,8 +76,8 @@
         (
             "settings",
             "shortest_target_us",
-            "place",
-            "pools",
+            "turn_offset",
+            "uses_pools",
             "started",
             "random",
             "now",
--- a/latchturn/session/phases.py
+++ b/latchturn/session/phases.py
@@ -88,7 +88,7 @@
         # Those that stand too: they have not ended. Two processes are one session controller.
         figures["outstanding"] = len(self.calls.by_id) + self.other_calls
         figures["discovered"] = len(self.exchanges.by_id)
-        figures["ejected"] = self.decision_module.controller.avoided(self.core.now)
+        figures["ejected"] = self.decision_module.controller.backed_off(self.core.now)
         return figures | {name: n for name, n in sorted(self.core.counters.items()) if name not in figures}
 
     def operate(self, command: operations.Command | None) -> bytes:
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -44,7 +44,7 @@
         bench.ended(call, 1, i.Outcome.UNREACHABLE)
         bench.pass_time(3 * SECOND)
         bench.now -= 2 * SECOND
-    assert bench.controller.by_number[1].pressed()
+    assert bench.controller.by_number[1].congested()
 
 
 def test_busy_number_is_spaced_out_and_freed_by_a_call_that_stands() -> None:
@@ -82,12 +82,12 @@
         call, _ = bench.offer(1)
         bench.now += SECOND
         bench.stands(call, 1)
-    assert far.window < begin and far.pressed()
+    assert far.window < begin and far.congested()
     for _ in range(4):
         call, _ = bench.offer(1)
         bench.now += 50_000
         bench.stands(call, 1)
-    assert far.window >= begin and not far.pressed() and far.out == 0
+    assert far.window >= begin and not far.congested() and far.outstanding == 0
 
 
 def test_tandem_that_turned_back_is_left_alone_for_that_destination() -> None:
@@ -136,8 +136,8 @@
             bench.ended(call, 1, outcome, concluded=True)
         bench.pass_time(5 * SECOND)
     group = bench.controller.groups[1]
-    assert group.count == [0] * len(group.count)
-    assert bench.controller.by_number[1].out == 0 and bench.controller.calls == {}
+    assert group.in_use == [0] * len(group.in_use)
+    assert bench.controller.by_number[1].outstanding == 0 and bench.controller.calls == {}
 
 
 def test_odd_events_are_harmless() -> None:
@@ -186,7 +186,7 @@
             bench.now += 1_000
             bench.stands(call, 1)
         bench.offer(1)
-        assert far.out <= 4
+        assert far.outstanding <= 4
 
 
 def test_turn_back_pause_grows_and_ends_with_a_call_that_stands() -> None:
@@ -200,13 +200,13 @@
         bench.pass_time(3 * SECOND)
         bench.told(2, 40)
         begin = bench.now
-        while bench.controller.by_number[2].turned_back[1][1] > bench.now:
+        while bench.controller.by_number[2].tandem_back_offs[1][1] > bench.now:
             bench.pass_time(SECOND // 10)
         pauses.append(bench.now - begin)
     assert pauses == sorted(pauses) and pauses[0] < pauses[-1]
     call, actions = bench.offer(1)
     bench.stands(call, 2)
-    assert bench.controller.by_number[2].turned_back == {}
+    assert bench.controller.by_number[2].tandem_back_offs == {}
 
 
 def test_narrow_calls_yield_to_a_wider_call_that_waits_and_is_worth_as_much() -> None:
@@ -238,7 +238,7 @@
     call, _ = bench.offer(1)
     bench.do(i.CallerLeft(call))
     assert bench.ended(call, 1, i.Outcome.TIMED_OUT) == []
-    assert bench.controller.calls == {} and bench.controller.groups[1].count == [0, 0]
+    assert bench.controller.calls == {} and bench.controller.groups[1].in_use == [0, 0]
 
 
 def test_a_signalling_fault_is_tried_again_but_not_a_busy_number() -> None:
@@ -262,7 +262,7 @@
     bench.stands(other, 1)
     texts = [a.text for a in bench.log if isinstance(a, i.Log)]
     assert texts[1:] == ["exchange 1 answers again"]
-    assert bench.controller.by_number[1].silences == 0
+    assert bench.controller.by_number[1].consecutive_unanswered == 0
 
 
 def test_processor_full_is_waited_out_and_then_tried_again() -> None:
@@ -270,12 +270,12 @@
     call, _ = bench.offer(1)
     actions = bench.ended(call, 1, i.Outcome.TURNED_AWAY, i.Cause.PROCESSOR_FULL, wait_us=900_000)
     assert not sends(actions) and not sends(bench.offer(1)[1])
-    assert bench.controller.by_number[1].pressed()
+    assert bench.controller.by_number[1].congested()
     bench.now += 900_000
     call, actions = bench.offer(1)
     assert sends(actions) == [1]
     bench.stands(call, 1)
-    assert not bench.controller.by_number[1].pressed()
+    assert not bench.controller.by_number[1].congested()
 
 
 def test_restart_begins_from_told_circuits_and_the_cached_list() -> None:
@@ -378,7 +378,7 @@
     for _ in range(4):  # silences: each doubles the pause
         call, _ = bench.offer(1)
         bench.ended(call, 1, i.Outcome.UNREACHABLE, concluded=True)
-        bench.now = max(bench.now, bench.controller.exchanges[101].hold_until)
+        bench.now = max(bench.now, bench.controller.exchanges[101].blocked_until)
     call, _ = bench.offer(1)
     bench.ended(call, 1, i.Outcome.UNREACHABLE, concluded=True)
     call, actions = bench.offer(1)
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from latchturn import interface as i
-from latchturn.brain import CALLERS_KEPT, NUMBERS_KEPT
+from latchturn.brain import MAX_BUSY_NUMBERS, MAX_REDIAL_RECORDS
 
 from .helpers import SECOND, Bench, changed, entry
 
@@ -28,8 +28,8 @@
     """Checks every action against the rules as it comes."""
 
     def __init__(self, controllers: int) -> None:
-        self.out: dict[int, int] = {}  # call -> exchange of its attempt
-        self.owed: dict[int, int] = {}  # call -> deadline
+        self.outstanding: dict[int, int] = {}  # call -> exchange of its attempt
+        self.unanswered: dict[int, int] = {}  # call -> deadline
         self.standing: dict[int, int] = {}
         self.not_before: dict[int, int] = {}
         self.gone: set[int] = set()
@@ -40,22 +40,22 @@
         actions = super().do(event)
         for action in actions:
             if isinstance(action, i.SendSetup):
-                assert action.call in self.owed and action.call not in self.out
+                assert action.call in self.unanswered and action.call not in self.outstanding
                 assert self.now >= self.not_before.get(action.call, 0)
                 assert action.exchange - 100 not in self.gone
-                assert 0 < action.timeout_us <= self.owed[action.call] - self.now
-                self.out[action.call] = action.exchange - 100
+                assert 0 < action.timeout_us <= self.unanswered[action.call] - self.now
+                self.outstanding[action.call] = action.exchange - 100
             elif isinstance(action, i.Refuse | i.Fail):
-                assert action.call not in self.out
-                assert self.now <= self.owed.pop(action.call)
+                assert action.call not in self.outstanding
+                assert self.now <= self.unanswered.pop(action.call)
         return actions
 
     def finish(self, call: int, chance: random.Random) -> None:
         """End an attempt that is out, one way or the other, sometimes twice."""
-        number = self.out.pop(call)
+        number = self.outstanding.pop(call)
         if chance.random() < 0.5:
             self.standing[call] = number
-            self.owed.pop(call, None)
+            self.unanswered.pop(call, None)
             self.stands(call, number)
             return
         outcome, cause = chance.choice(ENDS)
@@ -78,13 +78,13 @@
             call, bench.next_call = bench.next_call, bench.next_call + 1
             cls = chance.randrange(3)
             deadline = bench.now + chance.choice((1, 20_000, 200_000, 3 * SECOND))
-            bench.owed[call] = deadline
+            bench.unanswered[call] = deadline
             width = bench.controller.settings.classes[cls].width
             transit, again = chance.random() < 0.2, chance.random() < 0.2
             number, called_number = chance.randrange(1, 7), chance.randrange(20)
             bench.do(i.CallOffered(call, cls, number, called_number, width, deadline, transit, again))
-        elif roll < 0.75 and bench.out:
-            bench.finish(chance.choice(sorted(bench.out)), chance)
+        elif roll < 0.75 and bench.outstanding:
+            bench.finish(chance.choice(sorted(bench.outstanding)), chance)
         elif roll < 0.8 and bench.standing:
             call = chance.choice(sorted(bench.standing))
             bench.ended(call, bench.standing.pop(call), i.Outcome.RELEASED, concluded=True)
@@ -95,34 +95,34 @@
             started = bench.now * chance.randrange(2)
             bench.list(i.ListKind.CHANGES, entry(number, state, started))
         elif roll < 0.9:
-            waiting = sorted(call for call in bench.owed if call not in bench.left)
+            waiting = sorted(call for call in bench.unanswered if call not in bench.left)
             if waiting:
                 call = chance.choice(waiting)
                 bench.left.add(call)
-                if call not in bench.out:
-                    bench.owed.pop(call)
+                if call not in bench.outstanding:
+                    bench.unanswered.pop(call)
                 bench.do(i.CallerLeft(call))
         else:
             bench.told(chance.randrange(1, 7), chance.randrange(41), chance.choice((0, 5, 40)))
         bench.pass_time(chance.randrange(100_000))
-        for call in [c for c in bench.out if bench.now >= bench.owed.get(c, bench.now + 1)]:
-            number = bench.out.pop(call)
-            bench.now = bench.owed[call] if call not in bench.left else bench.now
+        for call in [c for c in bench.outstanding if bench.now >= bench.unanswered.get(c, bench.now + 1)]:
+            number = bench.outstanding.pop(call)
+            bench.now = bench.unanswered[call] if call not in bench.left else bench.now
             bench.ended(call, number, i.Outcome.TIMED_OUT, concluded=call in bench.left)
     for call, number in sorted(bench.standing.items()):
         bench.ended(call, number, i.Outcome.RELEASED, concluded=True)
     for _ in range(600):  # a minute: calls that waited may still be sent, and end too
-        while bench.out:
-            call = min(bench.out)
+        while bench.outstanding:
+            call = min(bench.outstanding)
             bench.left.add(call)
-            bench.ended(call, bench.out.pop(call), i.Outcome.UNREACHABLE, concluded=True)
+            bench.ended(call, bench.outstanding.pop(call), i.Outcome.UNREACHABLE, concluded=True)
         bench.pass_time(SECOND // 10)
     controller = bench.controller
-    assert controller.calls == {} and controller.lines == {} and controller.timers == {}
-    assert len(controller.failed) <= CALLERS_KEPT and len(controller.busy) <= NUMBERS_KEPT
+    assert controller.calls == {} and controller.queues == {} and controller.timers == {}
+    assert len(controller.redial_records) <= MAX_REDIAL_RECORDS and len(controller.busy_numbers) <= MAX_BUSY_NUMBERS
     for far in controller.exchanges.values():
-        assert far.out == 0 and far.group.count == [0, 0]
-        assert far.group.spare == far.group.size - sum(far.group.low)
+        assert far.outstanding == 0 and far.group.in_use == [0, 0]
+        assert far.group.unreserved == far.group.size - sum(far.group.minimum)
 
 
 @pytest.mark.parametrize("controllers", [1, 500])
@@ -138,10 +138,10 @@
 
 def test_tables_stay_bounded() -> None:
     bench = Bench(far=2)
-    for called_number in range(1, CALLERS_KEPT + NUMBERS_KEPT + 100):
+    for called_number in range(1, MAX_REDIAL_RECORDS + MAX_BUSY_NUMBERS + 100):
         bench.told(1, 40)
         call, actions = bench.offer(1, called_number=called_number)
         if any(isinstance(a, i.SendSetup) for a in actions):
             bench.ended(call, 1, i.Outcome.NO_LINE, i.Cause.NUMBER_BUSY)
-    assert len(bench.controller.failed) <= CALLERS_KEPT
-    assert len(bench.controller.busy) <= NUMBERS_KEPT
+    assert len(bench.controller.redial_records) <= MAX_REDIAL_RECORDS
+    assert len(bench.controller.busy_numbers) <= MAX_BUSY_NUMBERS
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -43,7 +43,7 @@
     actions = bench.pass_time(3 * SECOND)
     assert finals(actions) == [call]
     assert not bench.told(1, 40)
-    assert bench.controller.calls == {} and bench.controller.lines == {}
+    assert bench.controller.calls == {} and bench.controller.queues == {}
 
 
 def test_rule_1_short_deadline_is_answered_in_time() -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -93,7 +93,7 @@
     gaps = []
     for bench in (few, many):
         bench.told(2, 40, setups_per_s=MORE)
-        gaps.append(bench.controller._cold_gap())
+        gaps.append(bench.controller._warm_up_gap())
     assert gaps[1] == pytest.approx(50 * gaps[0], rel=0.01)
     settings = many.controller.settings
     assert 500 * SECOND / gaps[1] <= settings.collapse_multiple * settings.cold_start_share * MORE
@@ -130,7 +130,7 @@
     for number in range(1, 6):
         bench.told(number, 0)
     assert len(turned_back(bench, 1)) > 1  # the ordinary path, before turn-backs are the rule
-    while bench.controller.backs < 0.9:
+    while bench.controller.tandem_refusal_share < 0.9:
         turned_back(bench, 2)
         bench.pass_time(40 * SECOND)
     assert len(turned_back(bench, 3)) == 1
@@ -142,7 +142,7 @@
     bench.stands(call, 30)
     bench.told(30, 20)
     assert sends(bench.offer(4)[1]) == [30]  # proven, though others have more
-    while bench.controller.backs >= 0.4:  # calls that stand end it
+    while bench.controller.tandem_refusal_share >= 0.4:  # calls that stand end it
         call, actions = bench.offer(5)
         if at := sends(actions):
             bench.stands(call, at[0])
