--- a/latchturn/checking/ledger.py
+++ b/latchturn/checking/ledger.py
@@ -13,7 +13,7 @@
 from .. import interface as i
 from .. import protocol as p
 from .. import session as s
-from ..session.exchanges import ENDS
+from ..session.exchanges import CAUSES_OF_END
 
 GIVE_UP_SLACK_US = 60_000  # a give-up that has not left by then takes its link along
 
@@ -227,7 +227,7 @@
             quiet = message.cause in (p.ReleaseCause.TEMPORARY_FAILURE, p.ReleaseCause.NORMAL)
             self._over(told, attempt, quiet)
         else:
-            ends = isinstance(message, p.Release) and message.cause in ENDS
+            ends = isinstance(message, p.Release) and message.cause in CAUSES_OF_END
             if ends and told.stood and told.stands_at == self.links.get(link):
                 self._ended(told)
 
--- a/latchturn/checking/plants.py
+++ b/latchturn/checking/plants.py
@@ -104,7 +104,7 @@
 
 @_fault("mini", "a reset told by the exchange is taken for an ordinary refusal")
 def _reset_taken_for_refusal() -> None:
-    exchanges.OUTCOMES[p.ReleaseCause.TEMPORARY_FAILURE] = i.Outcome.NO_LINE
+    exchanges.OUTCOME_BY_CAUSE[p.ReleaseCause.TEMPORARY_FAILURE] = i.Outcome.NO_LINE
 
 
 @_fault("mini", "a lost link is told as one that was never reached")
@@ -133,7 +133,7 @@
         return leaves
 
     _change(attempts.Attempts, "as_it_leaves", make)
-    _change(exchanges.Exchanges, "take_back", lambda _: lambda s, exchange: None)
+    _change(exchanges.Exchanges, "withdraw_queued_attempts", lambda _: lambda s, exchange: None)
 
 
 @_fault("list", "the list's word that an exchange is gone or drains is passed over")
@@ -145,7 +145,7 @@
 
         return told
 
-    _change(exchanges.Exchanges, "list_told", make)
+    _change(exchanges.Exchanges, "apply_list_update", make)
 
 
 @_fault("rude", "a set-up under an id that has had its answer is taken as a new call")
@@ -249,15 +249,15 @@
 
 def _any_link() -> None:
     def make(old: Body) -> Body:
-        def heard(self: Any, link: Any, message: Any) -> Any:
+        def message_received(self: Any, link: Any, message: Any) -> Any:
             call = self.calls.by_id.get(message.call)
             if call is not None and call.attempt is not None and call.attempt.sent:
                 link = call.attempt.link
             return old(self, link, message)
 
-        return heard
+        return message_received
 
-    _change(exchanges.Exchanges, "heard", make)
+    _change(exchanges.Exchanges, "message_received", make)
 
 
 @_fault("strays", "a word on any link counts for the attempt that is out")
@@ -268,15 +268,15 @@
 @_fault("strays", "an answer that no attempt waits for is passed on if its call is open")
 def _late_answer_passed_on() -> None:
     def make(old: Body) -> Body:
-        def answered(self: Any, exchange: Any, link: Any, answer: Any, attempt: Any) -> Any:
+        def answer_received(self: Any, exchange: Any, link: Any, answer: Any, attempt: Any) -> Any:
             if attempt is None and answer.call in self.calls.by_id:
                 self.calls.final(answer.call, p.Answer(answer.call, answer.description))
                 return None
             return old(self, exchange, link, answer, attempt)
 
-        return answered
+        return answer_received
 
-    _change(exchanges.Exchanges, "answered", make)
+    _change(exchanges.Exchanges, "answer_received", make)
 
 
 @_fault("mini", "a caller that gives up is forgotten without a word to the exchange")
@@ -308,7 +308,7 @@
 
 @_fault("mini", "a standing call that its caller ends is not released at its exchange")
 def _end_not_passed_on() -> None:
-    _change(exchanges.Exchanges, "release", lambda _: lambda s, exchange, message: None)
+    _change(exchanges.Exchanges, "send_release", lambda _: lambda s, exchange, message: None)
 
 
 @_fault("list", "calls that stood at an exchange that has gone are ended without a word to their callers")
@@ -440,7 +440,7 @@
 
         return told
 
-    _change(exchanges.Exchanges, "list_told", make)
+    _change(exchanges.Exchanges, "apply_list_update", make)
 
 
 @_fault("mini", "an answer is passed on twice")
@@ -461,13 +461,13 @@
 @_fault("strays", "a refusal on any link ends the attempt that is out")
 def _refusal_on_any_link() -> None:
     def make(old: Body) -> Body:
-        def heard(self: Any, link: Any, message: Any) -> Any:
+        def message_received(self: Any, link: Any, message: Any) -> Any:
             call = self.calls.by_id.get(message.call)
             refusal = isinstance(message, p.Release)
             if refusal and call is not None and call.attempt is not None and call.attempt.sent:
                 link = call.attempt.link
             return old(self, link, message)
 
-        return heard
+        return message_received
 
-    _change(exchanges.Exchanges, "heard", make)
+    _change(exchanges.Exchanges, "message_received", make)
--- a/latchturn/session/attempts.py
+++ b/latchturn/session/attempts.py
@@ -57,10 +57,10 @@
             k.last_received_us for k in self.exchanges.by_id[link.exchange_id].links.values() if k is not link and k.up
         ]
         if link.unanswered_timeouts and self.is_mute(attempt, others):
-            self.links.drop_mute(link)
+            self.links.drop_unresponsive(link)
             return
         if link.unanswered_timeouts:
-            self.liveness.suspect(self.exchanges.by_id[link.exchange_id])
+            self.liveness.probe_after_timeout(self.exchanges.by_id[link.exchange_id])
         # The give-up leaves before the module hears of the time-out, so that no two attempts are ever out.
         self.writing.queue(attempt.link, GiveUpDue(attempt))
         attempt.timer = self.timers.set(GIVE_UP_TIMEOUT_US, TimerKind.GIVE_UP, attempt)
@@ -68,7 +68,7 @@
     def is_mute(self, attempt: Attempt, others_heard_us: list[int]) -> bool:
         """Whether a link on which nothing has been heard since an attempt left is of no use any more: others have
         heard something, or there are none and no call needs it."""
-        if self.liveness.is_last_witness(attempt.link):
+        if self.liveness.is_last_proof_link(attempt.link):
             return False
         if others_heard_us:
             return max(others_heard_us) > attempt.sent_us + UNRESPONSIVE_US
--- a/latchturn/session/calls.py
+++ b/latchturn/session/calls.py
@@ -103,7 +103,7 @@
         id would also end a later attempt there, so it leaves once there can be none, and not where the call stands."""
         for ident in sorted(call.unsure):
             if ident != call.stands_at and ident in self.exchanges.by_id:
-                self.exchanges.release(self.exchanges.by_id[ident], Release(call.ident, ReleaseCause.NORMAL))
+                self.exchanges.send_release(self.exchanges.by_id[ident], Release(call.ident, ReleaseCause.NORMAL))
         call.unsure.clear()
 
     def remember_ended(self, ident: int, stood: bool, answered: bool) -> None:
@@ -143,7 +143,7 @@
         """Calls are taken to be over without a word from their exchange; should they go on there, it is told too."""
         self._cut(exchange, calls, why)
         for call in calls:
-            self.exchanges.release(exchange, Release(call.ident, ReleaseCause.NORMAL))
+            self.exchanges.send_release(exchange, Release(call.ident, ReleaseCause.NORMAL))
 
     def _cut(self, exchange: Exchange, calls: list[Call], why: str) -> None:
         if calls:
@@ -168,7 +168,7 @@
         else:
             exchange = self.exchanges.by_id[call.stands_at]
             self.end_standing(call, i.Outcome.CANCELLED)
-            self.exchanges.release(exchange, Release(call.ident, cause))
+            self.exchanges.send_release(exchange, Release(call.ident, cause))
 
     def inherit(self, ident: int, exchange: int) -> None:
         """Enter a call that stood in the process before this one. The module does not know it: the told free
@@ -180,4 +180,4 @@
             call.stands_at, call.stood_us, call.unheard_us = exchange, self.core.now, self.core.now
             self.exchanges.by_id[exchange].standing_calls.add(ident)
             # Its end may be told on the links of the process before, which are being closed.
-            self.missed_ends.collect_soon(self.exchanges.by_id[exchange])
+            self.missed_ends.schedule_recovery_link(self.exchanges.by_id[exchange])
--- a/latchturn/session/exchanges.py
+++ b/latchturn/session/exchanges.py
@@ -25,7 +25,7 @@
 from .state import Attempt, Call, Exchange, Link, ReceivedGroupState
 from .trace import CloseReason, TraceEvent
 
-NOTES = {
+CAUSE_BY_NOTE = {
     "no_circuit": i.Cause.NO_CIRCUIT,
     "turned_back": i.Cause.TURNED_BACK,
     "far_overload": i.Cause.FAR_PROCESSOR_FULL,
@@ -33,8 +33,8 @@
     "lines_busy": i.Cause.NUMBER_BUSY,
 }
 # Causes that end a standing call. Any other is the late copy of a refusal and ends nothing.
-ENDS = (ReleaseCause.NORMAL, ReleaseCause.TEMPORARY_FAILURE)
-OUTCOMES = {  # of a release before the answer
+CAUSES_OF_END = (ReleaseCause.NORMAL, ReleaseCause.TEMPORARY_FAILURE)
+OUTCOME_BY_CAUSE = {  # of a release before the answer
     ReleaseCause.NO_CIRCUIT: i.Outcome.TURNED_AWAY,
     ReleaseCause.TIMER_EXPIRY: i.Outcome.NOT_SENT,
     ReleaseCause.TEMPORARY_FAILURE: i.Outcome.CUT,
@@ -48,7 +48,7 @@
     def __init__(self) -> None:
         self.by_id: dict[int, Exchange] = {}
 
-    def list_told(self, update: ListUpdate) -> None:
+    def apply_list_update(self, update: ListUpdate) -> None:
         # An event may come twice, the whole list of the start among them: only what is new counts.
         if update.kind is None or update.number <= self.channel.cursor:
             return
@@ -79,7 +79,7 @@
             if entry.state is i.ListState.READY:
                 known.refusing_since_us = 0
             elif entry.state is i.ListState.DRAINING:
-                self.take_back(known)
+                self.withdraw_queued_attempts(known)
             if listed.address != known.address:
                 known.address = listed.address
                 for link in list(known.links.values()):
@@ -98,9 +98,9 @@
                 # Guards the memory and the descriptors kept for exchanges: on long days they come and go.
                 del self.by_id[exchange.ident]
             else:
-                self.links.keep(exchange)
+                self.links.ensure_kept_links(exchange)
 
-    def take_back(self, exchange: Exchange) -> None:
+    def withdraw_queued_attempts(self, exchange: Exchange) -> None:
         """Guards calls that would wait for a link to come up to an exchange that takes nothing new: what has
         not begun to leave is not sent."""
         for link in exchange.links.values():
@@ -108,11 +108,11 @@
             for attempt in sorted(queued, key=lambda a: a.call.ident):
                 self.attempts.end(attempt, i.Outcome.NOT_SENT)
 
-    def usable(self, exchange: Exchange) -> bool:
+    def is_usable(self, exchange: Exchange) -> bool:
         own = self.classes.settings.shape is i.Shape.MESH and exchange.number == self.classes.settings.own_number
         return exchange.state is not i.ListState.GONE and not own
 
-    def release(self, exchange: Exchange, release: Release) -> None:
+    def send_release(self, exchange: Exchange, release: Release) -> None:
         """Send the release of a call that stood on any open link, or keep it for the next one."""
         # Guards against a write that is stuck: a link with nothing under way comes first.
         up = [k for k in exchange.links.values() if k.up]
@@ -122,33 +122,33 @@
         elif exchange.state is not i.ListState.GONE:
             exchange.unsent_releases.append((self.core.now + EXCHANGE_RELEASE_TTL_US, release))
 
-    def heard(self, link: Link, message: Message) -> None:
+    def message_received(self, link: Link, message: Message) -> None:
         exchange = self.by_id[link.exchange_id]
         exchange.consecutive_failures = 0
-        self.liveness.heard(exchange, link)
+        self.liveness.message_received(exchange, link)
         link.half_us = link.half_us and self.core.now
         link.last_received_us, link.group_state_missing_since_us, link.unanswered_timeouts = self.core.now, 0, 0
-        is_first_word = not link.first_received_us
-        if is_first_word:
+        is_first_message = not link.first_received_us
+        if is_first_message:
             link.first_received_us = self.core.now
-            self.missed_ends.first_word(exchange, link)
+            self.missed_ends.first_message_received(exchange, link)
         call = self.calls.by_id.get(message.call)
         attempt = call.attempt if call is not None else None
         if attempt is not None and (attempt.link is not link or attempt.given_up or not attempt.sent):
             attempt = None
-        if isinstance(message, Answer) and self.is_spliced(exchange, link, message):
+        if isinstance(message, Answer) and self.is_truncated_answer(exchange, link, message):
             self.core.counters["garbled"] += 1
             self.writing.peer_done(link.ident, CloseReason.GARBLED)
         elif isinstance(message, Answer):
-            self.answered(exchange, link, message, attempt)
+            self.answer_received(exchange, link, message, attempt)
         elif isinstance(message, Release):
-            self.released(exchange, link, message, attempt)
+            self.release_received(exchange, link, message, attempt)
         elif isinstance(message, GroupState):
             exchange.sends_group_states = True
-            if not self.is_copy(exchange, link, message.report):
-                self.tell_report(exchange, message.report)
-                if not is_first_word:
-                    self.links.expect_copies(exchange, link)
+            if not self.is_repeated_group_state(exchange, link, message.report):
+                self.pass_on_report(exchange, message.report)
+                if not is_first_message:
+                    self.links.expect_on_other_links(exchange, link)
         elif isinstance(message, ReleaseConfirmed):
             link.unconfirmed.pop(message.call, None)
         elif isinstance(message, HealthCheck):
@@ -159,7 +159,7 @@
             self.writing.peer_done(link.ident, CloseReason.GARBLED)
 
     @staticmethod
-    def is_spliced(exchange: Exchange, link: Link, answer: Answer) -> bool:
+    def is_truncated_answer(exchange: Exchange, link: Link, answer: Answer) -> bool:
         """Whether an answer stopped short and goes on with the message behind it.
 
         Guards against passing on a description that no exchange made: with the answer spoilt, its attempt ends as cut.
@@ -167,7 +167,7 @@
         calls = {answer.call, *exchange.standing_calls, *(attempt.call.ident for attempt in link.attempts)}
         return holds_head_of_message(answer.description, calls)
 
-    def is_copy(self, exchange: Exchange, link: Link, figures: Mapping[str, float]) -> bool:
+    def is_repeated_group_state(self, exchange: Exchange, link: Link, figures: Mapping[str, float]) -> bool:
         """Whether a group state has been heard on another link already: it comes on each that is open.
 
         Guards against circuits that are counted as free once more, after a call has been sent to them.
@@ -183,10 +183,10 @@
         told.append(ReceivedGroupState(self.core.now, figures, {link.ident}))
         return False
 
-    def tell_report(self, exchange: Exchange, figures: Mapping[str, float]) -> None:
-        self.core.events.append(i.ExchangeReport(exchange.ident, True, False, 0, _report(figures)))
+    def pass_on_report(self, exchange: Exchange, figures: Mapping[str, float]) -> None:
+        self.core.events.append(i.ExchangeReport(exchange.ident, True, False, 0, _load_report(figures)))
 
-    def answered(self, exchange: Exchange, link: Link, answer: Answer, attempt: Attempt | None) -> None:
+    def answer_received(self, exchange: Exchange, link: Link, answer: Answer, attempt: Attempt | None) -> None:
         if attempt is None:
             # An answer to an attempt that was given up is released, not passed on. Where the same call has
             # an attempt out or stands at this exchange, the give-up alone does that: a release would end it.
@@ -211,13 +211,13 @@
             i.CallStands(call.ident, attempt.number, exchange.ident, self.core.now - attempt.started_us)
         )
         if answer.report is not None:
-            self.tell_report(exchange, answer.report)
+            self.pass_on_report(exchange, answer.report)
 
     def at_address(self, address: tuple[str, int]) -> list[Exchange]:
         """The exchanges of an address: one, but while the list holds one that has gone beside its successor."""
         return [exchange for exchange in self.by_id.values() if exchange.address == address]
 
-    def may_have(self, exchange: Exchange, call: Call) -> bool:
+    def may_hold_call(self, exchange: Exchange, call: Call) -> bool:
         """Whether a call stands at an exchange, or at another of the same address.
 
         Guards against ends told on the links of an exchange that has gone, where another has its address and the list
@@ -227,14 +227,14 @@
             return call.stands_at is not None
         return self.by_id[call.stands_at].address == exchange.address
 
-    def released(self, exchange: Exchange, link: Link, release: Release, attempt: Attempt | None) -> None:
-        report = None if release.report is None else _report(release.report)
+    def release_received(self, exchange: Exchange, link: Link, release: Release, attempt: Attempt | None) -> None:
+        report = None if release.report is None else _load_report(release.report)
         call = self.calls.by_id.get(release.call)
         if attempt is not None:
-            outcome = OUTCOMES.get(release.cause, i.Outcome.NO_LINE)  # type: ignore[call-overload]
-            self.attempts.end(attempt, outcome, cause=NOTES.get(release.note, i.Cause.NONE), report=report)
-        elif call is not None and self.may_have(exchange, call) and release.cause in ENDS:
-            self.liveness.ended(exchange, call)
+            outcome = OUTCOME_BY_CAUSE.get(release.cause, i.Outcome.NO_LINE)  # type: ignore[call-overload]
+            self.attempts.end(attempt, outcome, cause=CAUSE_BY_NOTE.get(release.note, i.Cause.NONE), report=report)
+        elif call is not None and self.may_hold_call(exchange, call) and release.cause in CAUSES_OF_END:
+            self.liveness.end_received(exchange, call)
             over = release.cause == ReleaseCause.NORMAL
             self.calls.end_standing(call, i.Outcome.RELEASED if over else i.Outcome.CUT, report)
             self.end_notices.send(call.caller, Release(call.ident, release.cause))
@@ -243,11 +243,11 @@
             if report is not None:
                 self.core.events.append(i.ExchangeReport(exchange.ident, True, False, 0, report))
             self.core.counters["late_messages"] += 1
-            if call is None and release.call not in self.calls.over and release.cause in ENDS:
+            if call is None and release.call not in self.calls.over and release.cause in CAUSES_OF_END:
                 # The call stood before this program was started anew; its caller still has to hear.
                 self.calls.remember_ended(release.call, True, True)
                 self.end_notices.send(0, Release(release.call, release.cause))
 
 
-def _report(figures: Mapping[str, float]) -> i.Report:
+def _load_report(figures: Mapping[str, float]) -> i.Report:
     return read_report((REPORT_FIELDS.get(name), value) for name, value in figures.items())
--- a/latchturn/session/housekeeping.py
+++ b/latchturn/session/housekeeping.py
@@ -71,10 +71,10 @@
 
     def _check_link(self, link: Link) -> None:
         """Close a link that misses what other links of its exchange hear."""
-        if not link.up or link.ident not in self.links.by_stream or self.liveness.is_last_witness(link):
+        if not link.up or link.ident not in self.links.by_stream or self.liveness.is_last_proof_link(link):
             return
         if self._misses_group_states(link) or self._missed_its_turn(link):
-            self.links.drop_mute(link)
+            self.links.drop_unresponsive(link)
 
     def _misses_group_states(self, link: Link) -> bool:
         """Whether a link has missed a group state for some time, while others go on to hear."""
--- a/latchturn/session/links.py
+++ b/latchturn/session/links.py
@@ -20,46 +20,46 @@
 
     def __init__(self) -> None:
         self.by_stream: dict[int, Link] = {}
-        self.next_stream = -1
+        self.next_stream_id = -1
 
-    def drop_mute(self, link: Link) -> None:
+    def drop_unresponsive(self, link: Link) -> None:
         """Guards against a link that is open and of no further use: what is set up on it comes to nothing,
         and the ends of the calls that stand there are told on the next link that is opened."""
         self.core.counters["links_mute"] += 1
         self.writing.drop(link, CloseReason.SILENT)
 
-    def expect_copies(self, exchange: Exchange, link: Link) -> None:
+    def expect_on_other_links(self, exchange: Exchange, link: Link) -> None:
         """A new group state has been heard on a link: it comes on all the others as well."""
         for other in exchange.links.values():
             if other is not link and other.up and not other.group_state_missing_since_us:
                 other.group_state_missing_since_us = self.core.now
 
-    def keep(self, exchange: Exchange) -> None:
+    def ensure_kept_links(self, exchange: Exchange) -> None:
         """Have links to every exchange that can be used, one after the other: group states come on open links
         alone."""
         slot = next((k for k in range(KEPT_LINKS) if k not in exchange.links or not exchange.links[k].up), KEPT_LINKS)
-        if self.exchanges.usable(exchange) and slot < KEPT_LINKS and slot not in exchange.links:
+        if self.exchanges.is_usable(exchange) and slot < KEPT_LINKS and slot not in exchange.links:
             if self.core.now >= exchange.reconnect_due_us:
                 self.connect(exchange, slot)
             else:
                 self.timers.set(exchange.reconnect_due_us - self.core.now, TimerKind.RECONNECT, exchange)
 
     def connect(self, exchange: Exchange, slot: int) -> Link:
-        link = Link(self.next_stream, exchange_id=exchange.ident, slot=slot, connect_started_us=self.core.now)
-        self.next_stream -= 1
+        link = Link(self.next_stream_id, exchange_id=exchange.ident, slot=slot, connect_started_us=self.core.now)
+        self.next_stream_id -= 1
         self.by_stream[link.ident] = exchange.links[slot] = link
         self.core.counters["connects"] += 1
         self.core.effects.append(Connect(link.ident, exchange.address, self.classes.settings.connect_timeout_us))
         return link
 
-    def half_read(self, link: Link, half: bool) -> None:
+    def partial_message_changed(self, link: Link, half: bool) -> None:
         """Its input ends within a message, or does so no more."""
         began = half and not link.half_us
         link.half_us = (link.half_us or self.core.now) if half else 0
         if began:
             self.timers.set(LINK_PARTIAL_TIMEOUT_US, TimerKind.HALF_READ, link)
 
-    def half_read_long(self, link: Link) -> None:
+    def partial_message_timeout(self, link: Link) -> None:
         """Guards the set-ups that would follow onto a link on which nothing more can be read."""
         left = link.half_us + LINK_PARTIAL_TIMEOUT_US - self.core.now
         if left <= 0:
@@ -77,12 +77,12 @@
         self.core.note(TraceEvent.LINK_UP, exchange=link.exchange_id, stream=stream)
         link.up_since_us = self.core.now
         exchange = self.exchanges.by_id[link.exchange_id]
-        self.liveness.connected(exchange)
+        self.liveness.link_connected(exchange)
         unsent, exchange.unsent_releases = exchange.unsent_releases, []
         for _, release in unsent:
             self.writing.queue(link, release)
         self.writing.ready[link.ident] = link
-        self.keep(exchange)
+        self.ensure_kept_links(exchange)
 
     def connect_failed(self, stream: int, refused: bool) -> None:
         link = self.by_stream.get(stream)
@@ -91,10 +91,10 @@
         self.core.counters["connects_refused" if refused else "connects_timed_out"] += 1
         exchange = self.exchanges.by_id[link.exchange_id]
         self.writing.note_closed(link, CloseReason.CONNECT_REFUSED if refused else CloseReason.CONNECT_FAILED)
-        self.lose(link, CloseReason.CONNECT_FAILED)
+        self.remove(link, CloseReason.CONNECT_FAILED)
         self.liveness.connect_failed(exchange, link, refused)
 
-    def lose(self, link: Link, reason: CloseReason) -> None:
+    def remove(self, link: Link, reason: CloseReason) -> None:
         """The link is closed, and with that the set-ups on it are given up."""
         exchange = self.exchanges.by_id[link.exchange_id]
         link.move(StreamMove.CLOSE)
@@ -105,7 +105,7 @@
                 not attempt.sent
                 and link.up_since_us
                 and attempt.moves < MAX_ATTEMPT_MOVES
-                and self.exchanges.usable(exchange)
+                and self.exchanges.is_usable(exchange)
             ):
                 # Guards against taking the reset of a new or idle link for a dead exchange: nothing has left,
                 # so the attempt goes on over another link.
@@ -119,7 +119,7 @@
                 attempt.call.unsure.add(exchange.ident)
                 self.attempts.end(attempt, i.Outcome.TIMED_OUT if attempt.given_up else i.Outcome.CUT)
         for release in self.writing.unfinished_releases(link):
-            self.exchanges.release(exchange, release)
+            self.exchanges.send_release(exchange, release)
         if link.up_since_us:
             self.missed_ends.link_lost(exchange, link, reason)
         # The first reconnect follows at once: a refusal tells at once that the process has died.
@@ -128,4 +128,4 @@
             pause = min(RECONNECT_MAX_US, RECONNECT_MIN_US << min(exchange.consecutive_failures, 10))
         exchange.consecutive_failures += 1
         exchange.reconnect_due_us = self.core.now + int(pause * self.core.random.uniform(0.5, 1.0))
-        self.keep(exchange)
+        self.ensure_kept_links(exchange)
--- a/latchturn/session/liveness.py
+++ b/latchturn/session/liveness.py
@@ -34,25 +34,25 @@
 
     # --- evidence ---
 
-    def heard(self, exchange: Exchange, link: Link) -> None:
+    def message_received(self, exchange: Exchange, link: Link) -> None:
         """A message has come on a link."""
         exchange.last_received_us = self.core.now
         if exchange.outage_since_us and link.up_since_us >= exchange.outage_since_us:
             # Guards against a new process at the address, which knows nothing of the calls of the one before.
-            if not self._old_links(exchange):
-                self._lost_track(exchange, "answers again on new links alone")
+            if not self._links_before_outage(exchange):
+                self._end_calls_before_outage(exchange, "answers again on new links alone")
             return
-        self._prove(exchange)
+        self._mark_alive(exchange)
 
-    def connected(self, exchange: Exchange) -> None:
+    def link_connected(self, exchange: Exchange) -> None:
         """A link has come up. It proves something only of an exchange that sends no group states, by which
         any other process shows itself on each new link."""
         exchange.kept_link_broken = False
         if not exchange.sends_group_states:
             exchange.last_received_us = self.core.now
-            self._prove(exchange)
+            self._mark_alive(exchange)
 
-    def _prove(self, exchange: Exchange) -> None:
+    def _mark_alive(self, exchange: Exchange) -> None:
         """The process at which the calls stand lives."""
         exchange.last_alive_us, exchange.outage_since_us = self.core.now, 0
         if exchange.quiet_noted:
@@ -86,12 +86,12 @@
         if link.connect_started_us > exchange.last_alive_us:
             exchange.outage_since_us = exchange.outage_since_us or link.connect_started_us
 
-    def broken(self, link: Link) -> None:
+    def link_ended_by_peer(self, link: Link) -> None:
         """The peer ended a link. Those kept are reconnected at once, which tells whether it has died."""
         if link.slot < KEPT_LINKS:
             self.exchanges.by_id[link.exchange_id].kept_link_broken = True
 
-    def reset(self, link: Link) -> None:
+    def link_reset(self, link: Link) -> None:
         """The peer reset a link; called while the link is still entered.
 
         Guards against a process that dies and has another in its place before a connect could be refused: its
@@ -112,7 +112,7 @@
             exchange.received_before_reset_us = exchange.last_received_us
         exchange.all_links_reset_us = self.core.now
 
-    def ended(self, exchange: Exchange, call: Call) -> None:
+    def end_received(self, exchange: Exchange, call: Call) -> None:
         """An exchange has told the end of a call, which only the process at which it stood can do."""
         if call.stood_us < exchange.all_links_reset_us:
             exchange.all_links_reset_us = 0
@@ -130,19 +130,19 @@
             exchange.all_links_reset_us = 0
         silent_us = self.core.now - exchange.last_alive_us
         if silent_us >= SILENCE_LIMIT_US:
-            self._silent(exchange)
+            self._end_calls_of_silent(exchange)
         elif (
             exchange.refusing_since_us
             and self.core.now - max(exchange.refusing_since_us, exchange.last_alive_us) > DRAINED_AFTER_US
         ):
             self.calls.cut(exchange, self.core.now + 1, "has drained and refused links")
         elif silent_us >= PROBE_AFTER_US and self.core.now - exchange.last_probe_us >= PROBE_INTERVAL_US:
-            self._probe(exchange)
+            self._probe_quiet(exchange)
 
-    def _silent(self, exchange: Exchange) -> None:
+    def _end_calls_of_silent(self, exchange: Exchange) -> None:
         """Its calls are over, as far as their callers are concerned. Should it live, it is told so too."""
         if exchange.outage_since_us and exchange.last_received_us >= exchange.outage_since_us:
-            self._lost_track(exchange, "answers again on new links alone")
+            self._end_calls_before_outage(exchange, "answers again on new links alone")
             return
         standing = self.calls.stood_before(exchange, self.core.now + 1)
         for link in list(exchange.links.values()):
@@ -150,18 +150,18 @@
                 self.writing.drop(link, CloseReason.SILENT)
         self.calls.end_unheard(exchange, standing, "is silent")
 
-    def _lost_track(self, exchange: Exchange, why: str) -> None:
+    def _end_calls_before_outage(self, exchange: Exchange, why: str) -> None:
         """The process that answers now may be another: calls from before its first link are over."""
         self.calls.end_unheard(exchange, self.calls.stood_before(exchange, exchange.outage_since_us), why)
-        self._prove(exchange)
+        self._mark_alive(exchange)
 
-    def suspect(self, exchange: Exchange) -> None:
+    def probe_after_timeout(self, exchange: Exchange) -> None:
         """Set-ups time out unheard: see at once whether a new link hears more."""
         if self.core.now - exchange.last_probe_us >= PROBE_INTERVAL_US:
             exchange.last_probe_us = self.core.now
-            self.open_link(exchange)
+            self.open_extra_link(exchange)
 
-    def _probe(self, exchange: Exchange) -> None:
+    def _probe_quiet(self, exchange: Exchange) -> None:
         """Nothing has been heard for some time: a new link tells whether anybody is there."""
         exchange.last_probe_us = self.core.now
         if not exchange.quiet_noted:
@@ -169,35 +169,35 @@
             silent_ms = (self.core.now - exchange.last_alive_us) // 1000
             reason = f"{len(exchange.standing_calls)} calls stand, nothing heard for {silent_ms} ms"
             self.core.note(TraceEvent.EXCHANGE_QUIET, exchange=exchange.ident, reason=reason)
-        self.open_link(exchange, may_close=True, unheard_us=SILENT_LINK_WAIT_US)
+        self.open_extra_link(exchange, may_replace=True, max_wait_us=SILENT_LINK_WAIT_US)
 
-    def open_link(self, exchange: Exchange, may_close: bool = False, unheard_us: float = math.inf) -> bool:
+    def open_extra_link(self, exchange: Exchange, may_replace: bool = False, max_wait_us: float = math.inf) -> bool:
         """Open a further link, unless one is coming up already or has told nothing yet; whether that was done.
 
-        A link that has told nothing for `unheard_us` is not waited for: the network may have forgotten it.
+        A link that has told nothing for `max_wait_us` is not waited for: the network may have forgotten it.
 
         What comes first on it proves that the exchange lives, and calls that have ended are told there. The links
         that are open stay so: a hung exchange will speak on them when it goes on, and what it tells on one that it
         does not know to be closed is lost.
         """
         unheard = [k for k in exchange.links.values() if exchange.sends_group_states and not k.last_received_us]
-        waited_for = [k for k in unheard if self.core.now - k.up_since_us < unheard_us]
+        waited_for = [k for k in unheard if self.core.now - k.up_since_us < max_wait_us]
         if waited_for or any(not k.up for k in exchange.links.values()):
             return False
         slot = next((k for k in reversed(range(MAX_LINKS_PER_EXCHANGE)) if k not in exchange.links), None)
         if slot is None:
             # One that has said nothing yet may be told ends of calls as a hung exchange goes on.
-            return may_close and not unheard and self._reopen_one(exchange)
+            return may_replace and not unheard and self._replace_least_needed(exchange)
         self.links.connect(exchange, slot)
         return True
 
-    def _reopen_one(self, exchange: Exchange) -> bool:
+    def _replace_least_needed(self, exchange: Exchange) -> bool:
         """Open a link in the place of the one that is worth least: without calls, and not the last from before.
 
         Only of an exchange that has been quiet: on any other, what it is just sending on that link would be lost.
         """
         needed = {self.calls.by_id[k].link for k in exchange.standing_calls}
-        idle = [k for k in exchange.links.values() if not (k.attempts or k.half_us or self.is_last_witness(k))]
+        idle = [k for k in exchange.links.values() if not (k.attempts or k.half_us or self.is_last_proof_link(k))]
         if not idle:
             return False
         least = min(idle, key=lambda k: (k.ident in needed, k.slot < KEPT_LINKS, k.last_received_us))
@@ -207,11 +207,11 @@
         return True
 
     @staticmethod
-    def _old_links(exchange: Exchange) -> list[Link]:
+    def _links_before_outage(exchange: Exchange) -> list[Link]:
         """The links from before the outage, on which only the process from before can say anything."""
         return [link for link in exchange.links.values() if link.up and link.up_since_us < exchange.outage_since_us]
 
-    def is_last_witness(self, link: Link) -> bool:
+    def is_last_proof_link(self, link: Link) -> bool:
         """Whether a silent link is still of use: it is the last one on which an exchange where calls stand
         could show that it is still the same process."""
         exchange = self.exchanges.by_id[link.exchange_id]
--- a/latchturn/session/phases.py
+++ b/latchturn/session/phases.py
@@ -125,7 +125,7 @@
         if self.core.now - self.started_us >= READY_TIMEOUT_US:
             return True
         return all(
-            e.sends_group_states or e.consecutive_failures or not self.exchanges.usable(e)
+            e.sends_group_states or e.consecutive_failures or not self.exchanges.is_usable(e)
             for e in self.exchanges.by_id.values()
         )
 
@@ -263,5 +263,5 @@
         self.timers.set(READY_TIMEOUT_US, TimerKind.READY)
         self.timers.set(SWEEP_INTERVAL_US, TimerKind.SWEEP)
         for update in known:
-            self.exchanges.list_told(update)
+            self.exchanges.apply_list_update(update)
         self.channel.cursor = max(self.channel.cursor, cursor)
--- a/latchturn/session/reducer.py
+++ b/latchturn/session/reducer.py
@@ -123,7 +123,7 @@
         match happened:
             case MessageReceived(stream, message, waited_us):
                 if stream in self.links.by_stream:
-                    self.exchanges.heard(self.links.by_stream[stream], message)
+                    self.exchanges.message_received(self.links.by_stream[stream], message)
                 elif stream in self.callers.by_stream:
                     self.callers.heard(self.callers.by_stream[stream], message, waited_us)
             case WriteCompleted(stream):
@@ -141,7 +141,7 @@
                     self.writing.peer_done(stream, CloseReason.GARBLED)
             case PartialMessage(stream, half):
                 if stream in self.links.by_stream:
-                    self.links.half_read(self.links.by_stream[stream], half)
+                    self.links.partial_message_changed(self.links.by_stream[stream], half)
                 elif stream in self.callers.by_stream:
                     self.callers.half_read(self.callers.by_stream[stream], half)
             case EndOfInput(stream):
@@ -154,7 +154,7 @@
                 self.links.connect_failed(stream, refused)
             case ListUpdateReceived(update):
                 self.channel.heard(update.number)
-                self.exchanges.list_told(update)
+                self.exchanges.apply_list_update(update)
             case ChannelLost(reason):
                 self.channel.ended(reason)
             case AdminRequest(connection, command):
@@ -192,7 +192,7 @@
     ) -> None:
         # The events of the file that are not known yet count; its whole list of the start is old.
         for event in known:
-            self.exchanges.list_told(event)
+            self.exchanges.apply_list_update(event)
         self.core.sockets = sockets
         if settings != self.classes.read:
             self.classes.use(settings, self.classes.settings)
@@ -242,9 +242,9 @@
                 self.writing.drop(what.link, CloseReason.GIVE_UP_STUCK)
         elif kind is TimerKind.HALF_READ and isinstance(what, Link):
             if self.links.by_stream.get(what.ident) is what and what.half_us:
-                self.links.half_read_long(what)
+                self.links.partial_message_timeout(what)
         elif kind is TimerKind.RECONNECT and isinstance(what, Exchange):
-            self.links.keep(what)
+            self.links.ensure_kept_links(what)
         elif kind is TimerKind.CHANNEL and what == self.channel.times_asked:
             self.channel.follow(self.channel.address)
         elif kind is TimerKind.TERM:
--- a/latchturn/session/writing.py
+++ b/latchturn/session/writing.py
@@ -48,7 +48,7 @@
     def peer_done(self, stream: int, reason: CloseReason = CloseReason.PEER_ENDED) -> None:
         """Nothing more comes in on a stream. A caller still gets the answers that it is owed."""
         if stream in self.links.by_stream:
-            self.liveness.broken(self.links.by_stream[stream])
+            self.liveness.link_ended_by_peer(self.links.by_stream[stream])
             self.drop(self.links.by_stream[stream], reason)
         elif stream in self.callers.by_stream:
             caller = self.callers.by_stream[stream]
@@ -60,9 +60,9 @@
         if stream in self.links.by_stream:
             link = self.links.by_stream[stream]
             self.note_closed(link, CloseReason.PEER_RESET)
-            self.liveness.broken(link)
-            self.liveness.reset(link)
-            self.links.lose(link, CloseReason.PEER_RESET)
+            self.liveness.link_ended_by_peer(link)
+            self.liveness.link_reset(link)
+            self.links.remove(link, CloseReason.PEER_RESET)
         elif stream in self.callers.by_stream:
             caller = self.callers.by_stream[stream]
             self.note_closed(caller, caller.closing or CloseReason.PEER_RESET)
@@ -126,7 +126,7 @@
         self.note_closed(stream, reason)
         self.core.effects.append(Close(stream.ident))
         if isinstance(stream, Link):
-            self.links.lose(stream, reason)
+            self.links.remove(stream, reason)
         elif isinstance(stream, Caller):
             self.callers.lose(stream)
 
