--- a/latchturn/checking/pairs.py
+++ b/latchturn/checking/pairs.py
@@ -16,17 +16,17 @@
 @contextmanager
 def record(into: Pairs) -> Iterator[None]:
     """Count every move of every machine while this lasts."""
-    go = Machine.go
+    go = Machine.next_state
 
     def counted(self: Machine[IntEnum, IntEnum], state: IntEnum, move: IntEnum) -> IntEnum:
         into[self.name, state.name, move.name] += 1
         return go(self, state, move)
 
-    Machine.go = counted  # type: ignore[method-assign,assignment]
+    Machine.next_state = counted  # type: ignore[method-assign,assignment]
     try:
         yield
     finally:
-        Machine.go = go  # type: ignore[method-assign]
+        Machine.next_state = go  # type: ignore[method-assign]
 
 
 def table(pairs: Pairs) -> list[tuple[Pair, int, str]]:
@@ -34,9 +34,9 @@
     rows = []
     for machine in MACHINES:
         for state in machine.states:
-            for move in machine.inputs:
+            for move in machine.transitions:
                 pair = (machine.name, state.name, move.name)
-                rows.append((pair, pairs[pair], machine.never.get((state, move), "")))
+                rows.append((pair, pairs[pair], machine.impossible.get((state, move), "")))
     return rows
 
 
--- a/latchturn/checking/plants.py
+++ b/latchturn/checking/plants.py
@@ -329,36 +329,36 @@
 @_fault("settings", "a drain closes connections though calls wait on them")
 def _drain_closes_busy() -> None:
     def make(old: Body) -> Body:
-        def send_away(self: Any) -> Any:
+        def close_drained(self: Any) -> Any:
             for caller in self.callers.by_stream.values():
                 self.core.effects.append(Close(caller.ident))
             return old(self)
 
-        return send_away
+        return close_drained
 
-    _change(phases.Phases, "send_away", make)
+    _change(phases.Phases, "close_drained", make)
 
 
 @_fault("operators", "after SIGTERM the program ends though calls are open")
 def _ends_too_soon() -> None:
-    _change(phases.Phases, "closed_for_the_end", lambda _: lambda s: s.core.now > s.term_us)
+    _change(phases.Phases, "close_for_exit", lambda _: lambda s: s.core.now > s.sigterm_us)
 
 
 @_fault("operators", "after SIGTERM the program waits for ever")
 def _never_ends() -> None:
-    _change(phases.Phases, "finished", lambda _: lambda s: False)
+    _change(phases.Phases, "is_work_done", lambda _: lambda s: False)
 
 
 @_fault("operators", "a process that ends does not tell its successor which calls stand")
 def _nothing_bequeathed() -> None:
     def make(old: Body) -> Body:
-        def go_on(self: Any) -> Any:
+        def advance(self: Any) -> Any:
             old(self)
             self.core.effects[:] = [e for e in self.core.effects if type(e).__name__ != "HandOverCalls"]
 
-        return go_on
+        return advance
 
-    _change(phases.Phases, "go_on", make)
+    _change(phases.Phases, "advance", make)
 
 
 @_fault("mini", "links are opened to the port beside the one that is listed")
--- a/latchturn/session/__init__.py
+++ b/latchturn/session/__init__.py
@@ -37,7 +37,7 @@
     Write,
     WriteCompleted,
 )
-from .machines import MACHINES, ImpossibleMove
+from .machines import MACHINES, InvalidTransition
 from .phases import Phase
 from .reducer import Session
 from .state import Attempt, Call
@@ -63,7 +63,7 @@
     "Exit",
     "ForwardRelease",
     "HandOverCalls",
-    "ImpossibleMove",
+    "InvalidTransition",
     "Input",
     "ListenerReady",
     "ListUpdateReceived",
--- a/latchturn/session/attempts.py
+++ b/latchturn/session/attempts.py
@@ -6,7 +6,7 @@
 from ..protocol import SetUp
 from .component import Component
 from .limits import GIVE_UP_TIMEOUT_US, MAX_LINKS_PER_EXCHANGE, MAX_UNANSWERED_TIMEOUTS, UNRESPONSIVE_US
-from .machines import ATTEMPT, AttemptMove
+from .machines import ATTEMPT, AttemptTransition
 from .state import Attempt, Call, Exchange, GiveUpDue
 from .timers import TimerKind
 from .trace import TraceEvent
@@ -50,7 +50,7 @@
         if not attempt.sent:
             self.end(attempt, i.Outcome.UNREACHABLE)
             return
-        attempt.state = ATTEMPT.go(attempt.state, AttemptMove.TIME_OUT)
+        attempt.state = ATTEMPT.next_state(attempt.state, AttemptTransition.TIME_OUT)
         link = attempt.link
         link.unanswered_timeouts = link.unanswered_timeouts + 1 if link.last_received_us < attempt.sent_us else 0
         others = [
@@ -99,7 +99,7 @@
 
     def give_back(self, attempt: Attempt) -> None:
         """Its link, its timer and its place in the call are free again."""
-        attempt.state = ATTEMPT.go(attempt.state, AttemptMove.END)
+        attempt.state = ATTEMPT.next_state(attempt.state, AttemptTransition.END)
         attempt.link.attempts.discard(attempt)
         self.timers.drop(attempt.timer)
         attempt.call.attempt = None
@@ -112,7 +112,7 @@
         if self.exchanges.by_id[attempt.link.exchange_id].state is not i.ListState.READY:
             self.end(attempt, i.Outcome.NOT_SENT)
             return None
-        attempt.state = ATTEMPT.go(attempt.state, AttemptMove.LEAVE)
+        attempt.state = ATTEMPT.next_state(attempt.state, AttemptTransition.LEAVE)
         attempt.sent_us = self.core.now
         self.core.note(
             TraceEvent.ATTEMPT_SENT, call=call.ident, exchange=attempt.link.exchange_id, stream=attempt.link.ident
--- a/latchturn/session/callers.py
+++ b/latchturn/session/callers.py
@@ -27,7 +27,7 @@
     RECENT_ACTIVITY_US,
     RESERVED_DESCRIPTORS,
 )
-from .machines import StreamMove, StreamState
+from .machines import StreamState, StreamTransition
 from .phases import Phase
 from .state import Caller
 from .trace import CloseReason, TraceEvent
@@ -63,7 +63,7 @@
             self.calls.remember_answered(message.call)
             self.writing.queue(caller, Release(message.call, ReleaseCause.INVALID_CONTENTS))
             self.fault(caller, f"set-ups that cannot be used, the last for its {reason}")
-        elif len(caller.owed) >= MAX_OPEN_CALLS or len(self.calls.by_id) >= MAX_CALLS or self.phases.answer_all:
+        elif len(caller.owed) >= MAX_OPEN_CALLS or len(self.calls.by_id) >= MAX_CALLS or self.phases.refuse_all:
             # Guards the others' calls and the memory against a flood.
             self.core.counters["set_ups_over_budget"] += 1
             self.core.note(
@@ -73,7 +73,7 @@
             self.calls.remember_answered(message.call)
             stay_ms = self.classes.settings.max_stay_away_us // 1000
             self.writing.queue(caller, Release(message.call, ReleaseCause.CONGESTION, retry_after_ms=stay_ms))
-        elif self.core.now >= self.phases.refuse_us:
+        elif self.core.now >= self.phases.refuse_from_us:
             # Guards the drain's end against a connection that is never idle.
             self.core.note(TraceEvent.CALL_REFUSED, call=message.call, stream=caller.ident, reason="draining")
             self.calls.remember_answered(message.call)
@@ -95,7 +95,7 @@
         """Take nothing more from a caller: its open calls fail, then it is closed."""
         self.core.counters["callers_shut"] += 1
         self.core.log(f"caller {caller.ident} closed: {why}")
-        caller.move(StreamMove.FINISH)
+        caller.change_state(StreamTransition.FINISH)
         for ident in sorted(caller.owed):
             self.calls.fail(self.calls.by_id[ident], why)
         self.close_if_finished(caller)
@@ -115,7 +115,7 @@
 
     def most(self) -> int:
         """How many connections of callers fit the descriptor limit, beside those of the other process."""
-        ours = self.core.sockets - self.phases.other_holds
+        ours = self.core.sockets - self.phases.other_descriptors
         return max(
             ours // MIN_CALLERS_DIVISOR,
             ours - RESERVED_DESCRIPTORS - DESCRIPTORS_PER_EXCHANGE * len(self.exchanges.by_id),
@@ -191,7 +191,7 @@
 
     def lose(self, caller: Caller) -> None:
         """The connection is closed: what was owed on it is owed no more, releases go another way."""
-        caller.move(StreamMove.CLOSE)
+        caller.change_state(StreamTransition.CLOSE)
         del self.by_stream[caller.ident]
         self.without_calls.pop(caller.ident, None)
         for ident in list(caller.owed):
--- a/latchturn/session/calls.py
+++ b/latchturn/session/calls.py
@@ -6,7 +6,7 @@
 from ..protocol import Answer, Release, ReleaseCause, SetUp, settings_word
 from .component import Component
 from .limits import DEADLINE_MARGIN_US, DEADLINE_OVERRUN_US, ENDED_CALL_TTL_US, MAX_LOGGED_CALL_IDS, MAX_REMEMBERED_IDS
-from .machines import CALL, CallMove
+from .machines import CALL, CallTransition
 from .state import Call, Caller, Exchange, Over
 from .timers import TimerKind
 from .trace import TraceEvent
@@ -89,7 +89,7 @@
     def forget(self, call: Call, answered: bool = False) -> None:
         if self.by_id.pop(call.ident, None) is None:
             return
-        call.state = CALL.go(call.state, CallMove.FORGET)
+        call.state = CALL.next_state(call.state, CallTransition.FORGET)
         self.timers.drop(call.timer)
         if call.caller in self.callers.by_stream:
             self.callers.by_stream[call.caller].owed.discard(call.ident)
@@ -176,7 +176,7 @@
         if exchange in self.exchanges.by_id and ident not in self.by_id and ident not in self.over:
             self.core.counters["calls_inherited"] += 1
             call = self.by_id[ident] = Call(SetUp(ident, "", 0, "", b""), 0, self.core.now)
-            call.state = CALL.go(call.state, CallMove.ANSWER)
+            call.state = CALL.next_state(call.state, CallTransition.ANSWER)
             call.stands_at, call.stood_us, call.unheard_us = exchange, self.core.now, self.core.now
             self.exchanges.by_id[exchange].standing_calls.add(ident)
             # Its end may be told on the links of the process before, which are being closed.
--- a/latchturn/session/exchanges.py
+++ b/latchturn/session/exchanges.py
@@ -21,7 +21,7 @@
 )
 from .component import Component
 from .limits import EXCHANGE_RELEASE_TTL_US, GROUP_STATE_SPREAD_US
-from .machines import CALL, AttemptState, CallMove
+from .machines import CALL, AttemptState, CallTransition
 from .state import Attempt, Call, Exchange, Link, ReceivedGroupState
 from .trace import CloseReason, TraceEvent
 
@@ -203,7 +203,7 @@
         self.core.counters["attempts_answered"] += 1
         self.core.note(TraceEvent.CALL_ANSWERED, call=call.ident, exchange=exchange.ident, stream=call.caller)
         self.calls.final(call.ident, Answer(call.ident, answer.description))
-        call.state = CALL.go(call.state, CallMove.ANSWER)
+        call.state = CALL.next_state(call.state, CallTransition.ANSWER)
         call.stands_at, call.stood_us, call.link = exchange.ident, self.core.now, link.ident
         self.calls.release_unsure(call)
         exchange.standing_calls.add(call.ident)
--- a/latchturn/session/housekeeping.py
+++ b/latchturn/session/housekeeping.py
@@ -25,13 +25,13 @@
     """Ends what has been silent or stuck for too long, and drops what is too old."""
 
     def __init__(self) -> None:
-        self.swept_us = 0  # when it last ran
+        self.last_sweep_us = 0  # when it last ran
         self.was_late = False  # whether that was late
 
     def sweep(self) -> None:
         """Do all jobs once, and again after `SWEEP_INTERVAL_US`."""
         self.timers.set(SWEEP_INTERVAL_US, TimerKind.SWEEP)
-        in_time = self._is_in_time()
+        on_time = self._is_on_time()
         self.channel.check()
         streams: list[Caller | Link] = [*self.callers.by_stream.values(), *self.links.by_stream.values()]
         for stream in streams:
@@ -39,21 +39,21 @@
             self._check_write(stream)
         for caller in list(self.callers.by_stream.values()):
             self._check_caller(caller)
-        if in_time:
+        if on_time:
             for link in list(self.links.by_stream.values()):
                 self._check_link(link)
             for exchange in list(self.exchanges.by_id.values()):
                 self.liveness.check(exchange)
                 self.missed_ends.check(exchange)
-        self._end_old_settings()
+        self._drop_old_settings()
         self.end_notices.check()
-        self._forget()
+        self._drop_expired()
 
-    def _is_in_time(self) -> bool:
+    def _is_on_time(self) -> bool:
         """Guards against a stop of this process that would be taken for the silence of all others: what they have
         sent meanwhile lies unread. One late sweep draws no conclusions, the next one does."""
-        late = bool(self.swept_us) and self.core.now - self.swept_us > SWEEP_INTERVAL_US + MAX_SWEEP_DELAY_US
-        self.swept_us = self.core.now
+        late = bool(self.last_sweep_us) and self.core.now - self.last_sweep_us > SWEEP_INTERVAL_US + MAX_SWEEP_DELAY_US
+        self.last_sweep_us = self.core.now
         self.was_late = late and not self.was_late
         return not self.was_late
 
@@ -73,7 +73,7 @@
         """Close a link that misses what other links of its exchange hear."""
         if not link.up or link.ident not in self.links.by_stream or self.liveness.is_last_proof_link(link):
             return
-        if self._misses_group_states(link) or self._missed_its_turn(link):
+        if self._misses_group_states(link) or self._is_silent_beside_newer(link):
             self.links.drop_unresponsive(link)
 
     def _misses_group_states(self, link: Link) -> bool:
@@ -84,7 +84,7 @@
             and max(k.last_received_us for k in links) - link.group_state_missing_since_us > UNRESPONSIVE_US
         )
 
-    def _missed_its_turn(self, link: Link) -> bool:
+    def _is_silent_beside_newer(self, link: Link) -> bool:
         """Whether a link has never heard anything, while one that came up later has: exchanges speak first."""
         links = self.exchanges.by_id[link.exchange_id].links.values()
         later = [k.first_received_us for k in links if k.up_since_us > link.up_since_us and k.first_received_us]
@@ -101,13 +101,13 @@
             self.core.counters["callers_silent"] += 1
             self.writing.drop(caller, CloseReason.SAID_NOTHING)
 
-    def _end_old_settings(self) -> None:
+    def _drop_old_settings(self) -> None:
         """The classes of the settings before count no more once their callers have given up."""
         if self.classes.before and self.core.now > self.classes.before_until_us:
             self.classes.use(self.classes.read, None)
             self.core.events.append(i.SettingsChanged(self.classes.settings))
 
-    def _forget(self) -> None:
+    def _drop_expired(self) -> None:
         """Drop releases that no link came up for, and the ids of calls that ended long ago."""
         for exchange in self.exchanges.by_id.values():
             exchange.unsent_releases = [kept for kept in exchange.unsent_releases if kept[0] > self.core.now]
--- a/latchturn/session/links.py
+++ b/latchturn/session/links.py
@@ -9,7 +9,7 @@
 from .component import Component
 from .inputs_and_effects import Close, Connect
 from .limits import KEPT_LINKS, LINK_PARTIAL_TIMEOUT_US, MAX_ATTEMPT_MOVES, RECONNECT_MAX_US, RECONNECT_MIN_US
-from .machines import StreamMove
+from .machines import StreamTransition
 from .state import Exchange, Link
 from .timers import TimerKind
 from .trace import CloseReason, TraceEvent
@@ -73,7 +73,7 @@
         if link is None:
             self.core.effects.append(Close(stream))
             return
-        link.move(StreamMove.CONNECTED)
+        link.change_state(StreamTransition.CONNECTED)
         self.core.note(TraceEvent.LINK_UP, exchange=link.exchange_id, stream=stream)
         link.up_since_us = self.core.now
         exchange = self.exchanges.by_id[link.exchange_id]
@@ -97,7 +97,7 @@
     def remove(self, link: Link, reason: CloseReason) -> None:
         """The link is closed, and with that the set-ups on it are given up."""
         exchange = self.exchanges.by_id[link.exchange_id]
-        link.move(StreamMove.CLOSE)
+        link.change_state(StreamTransition.CLOSE)
         del self.by_stream[link.ident]
         del exchange.links[link.slot]
         for attempt in sorted(link.attempts, key=lambda a: a.call.ident):
--- a/latchturn/session/liveness.py
+++ b/latchturn/session/liveness.py
@@ -57,7 +57,7 @@
         exchange.last_alive_us, exchange.outage_since_us = self.core.now, 0
         if exchange.quiet_noted:
             exchange.quiet_noted = False
-            self.core.note(TraceEvent.EXCHANGE_HEARD, exchange=exchange.ident)
+            self.core.note(TraceEvent.EXCHANGE_RESPONSIVE, exchange=exchange.ident)
 
     def connect_failed(self, exchange: Exchange, link: Link, refused: bool) -> None:
         """A link did not come up."""
--- a/latchturn/session/phases.py
+++ b/latchturn/session/phases.py
@@ -27,7 +27,7 @@
     SUCCEEDED_REFUSE_SHARE,
     SWEEP_INTERVAL_US,
 )
-from .machines import PHASE, PhaseMove, PhaseState
+from .machines import PHASE, PhaseState, PhaseTransition
 from .timers import TimerKind
 from .trace import CloseReason, TraceEvent
 
@@ -47,36 +47,36 @@
     def __init__(self) -> None:
         self.state = PhaseState.OPEN
         self.listening = False
-        self.replaces = False  # another process serves until this one is ready
-        self.other_holds = 0  # descriptors, in the process before or after this one
+        self.replaces_predecessor = False  # another process serves until this one is ready
+        self.other_descriptors = 0  # descriptors, in the process before or after this one
         self.other_calls = 0
         self.started_us = 0
-        self.drain_us = 0  # since when it drains, else 0
-        self.drains = 0  # how often it has begun to
-        self.refuse_us = math.inf  # from then on new set-ups are refused
-        self.last_us = math.inf  # from then on less is waited for
-        self.term_us = 0  # when SIGTERM came
-        self.term_last_us = 0  # when all that is open then is answered
-        self.term_exit_us = 0  # when the program ends at the latest
-        self.closing_us = 0  # since when connections are closed for the end, else 0
-        self.answer_all = False
+        self.drain_since_us = 0  # since when it drains, else 0
+        self.drain_count = 0  # how often it has begun to
+        self.refuse_from_us = math.inf  # from then on new set-ups are refused
+        self.force_close_from_us = math.inf  # from then on less is waited for
+        self.sigterm_us = 0  # when SIGTERM came
+        self.answer_all_by_us = 0  # when all that is open then is answered
+        self.exit_by_us = 0  # when the program ends at the latest
+        self.closing_since_us = 0  # since when connections are closed for the end, else 0
+        self.refuse_all = False
 
-    def move(self, move: PhaseMove) -> None:
-        """Go on to the next phase; ImpossibleMove if the table has none."""
-        before, self.state = self.state, PHASE.go(self.state, move)
+    def change_state(self, transition: PhaseTransition) -> None:
+        """Go on to the next phase; InvalidTransition if the table has none."""
+        before, self.state = self.state, PHASE.next_state(self.state, transition)
         open_ = sum(call.stands_at is None for call in self.calls.by_id.values())
-        text = f"{before.name} to {self.state.name} by {move.name}: {len(self.callers.by_stream)} connections"
+        text = f"{before.name} to {self.state.name} by {transition.name}: {len(self.callers.by_stream)} connections"
         text += f", {open_} calls open, {len(self.calls.by_id) - open_} stand"
         self.core.note(TraceEvent.PHASE, reason=text)
 
-    def finished(self) -> bool:
+    def is_work_done(self) -> bool:
         """After SIGTERM: whether all that was taken is answered, and nothing new can come in."""
-        since = self.core.now - self.term_us
+        since = self.core.now - self.sigterm_us
         busy = any(c.owed or c.outbox or c.in_flight for c in self.callers.by_stream.values())
         busy = busy or any(k.up and (k.outbox or k.in_flight) for k in self.links.by_stream.values())
-        if self.core.now >= self.term_exit_us:
+        if self.core.now >= self.exit_by_us:
             return True
-        if self.succeeded:
+        if self.has_successor:
             return not self.callers.by_stream and not busy
         return since >= SIGTERM_GRACE_US and not busy
 
@@ -91,7 +91,7 @@
         figures["ejected"] = self.decision_module.controller.avoided(self.core.now)
         return figures | {name: n for name, n in sorted(self.core.counters.items()) if name not in figures}
 
-    def operate(self, command: operations.Command | None) -> bytes:
+    def handle_command(self, command: operations.Command | None) -> bytes:
         if command is operations.Command.PING:
             return operations.answer(self.phase is Phase.SERVING, self.phase.value)
         if command is operations.Command.INFO:
@@ -100,12 +100,12 @@
             if self.phase is Phase.ENDING:
                 return operations.answer(False, self.phase.value)
             if command is operations.Command.REJOIN:
-                self.move(PhaseMove.REJOIN)
-                self.serve_again()
-            elif not self.drain_us:
+                self.change_state(PhaseTransition.REJOIN)
+                self.stop_drain()
+            elif not self.drain_since_us:
                 self.core.log(f"draining: {len(self.callers.by_stream)} connections, {len(self.calls.by_id)} calls")
-                self.move(PhaseMove.DRAIN)
-                self.drain(self.core.now + DRAIN_REFUSE_US, self.core.now + DRAIN_FORCE_CLOSE_US)
+                self.change_state(PhaseTransition.DRAIN)
+                self.start_drain(self.core.now + DRAIN_REFUSE_US, self.core.now + DRAIN_FORCE_CLOSE_US)
             return operations.answer(True, self.phase.value)
         return operations.answer(False, "this can be asked: " + " ".join(c.value for c in operations.Command))
 
@@ -129,68 +129,72 @@
             for e in self.exchanges.by_id.values()
         )
 
-    def drain(self, refuse_us: float, last_us: float) -> None:
+    def start_drain(self, refuse_from_us: float, force_close_from_us: float) -> None:
         """Send all callers away, each once nothing of its is open. New set-ups are refused from a moment on;
         from another, less is waited for."""
-        self.drain_us, self.refuse_us, self.last_us = self.core.now, refuse_us, last_us
-        self.drains += 1
-        self.timers.set(DRAIN_INTERVAL_US, TimerKind.DRAIN, self.drains)
+        self.drain_since_us, self.refuse_from_us, self.force_close_from_us = (
+            self.core.now,
+            refuse_from_us,
+            force_close_from_us,
+        )
+        self.drain_count += 1
+        self.timers.set(DRAIN_INTERVAL_US, TimerKind.DRAIN, self.drain_count)
 
-    def serve_again(self) -> None:
-        self.drain_us, self.refuse_us = 0, math.inf
+    def stop_drain(self) -> None:
+        self.drain_since_us, self.refuse_from_us = 0, math.inf
 
-    def send_away(self) -> None:
+    def close_drained(self) -> None:
         """Guards the calls that cross a close: a connection is closed only with nothing open or unread."""
-        if not self.drain_us:
+        if not self.drain_since_us:
             return
-        self.timers.set(DRAIN_INTERVAL_US, TimerKind.DRAIN, self.drains)
-        if self.core.now - self.drain_us < DRAIN_MIN_OPEN_US and not self.succeeded:
+        self.timers.set(DRAIN_INTERVAL_US, TimerKind.DRAIN, self.drain_count)
+        if self.core.now - self.drain_since_us < DRAIN_MIN_OPEN_US and not self.has_successor:
             return
-        patient = self.core.now < self.last_us
+        patient = self.core.now < self.force_close_from_us
         # Ends of calls that stand are owed within 1 s, and no other connection may come for them: theirs stay until
         # these are told, and new set-ups on them are refused. A successor hears of the ends and passes them on.
         needed = {call.caller for call in self.calls.by_id.values()}
         for caller in self.callers.by_stream.values():
             speaks = patient and (caller.half_us or self.core.now - caller.accepted_us < DRAIN_MIN_OPEN_US)
-            needs = caller.ident in needed and (patient or not self.succeeded)
+            needs = caller.ident in needed and (patient or not self.has_successor)
             if caller.idle and not caller.finishing and not speaks and not needs:
                 caller.closing = CloseReason.DRAINED
                 self.core.effects.append(CloseIdle(caller.ident))
 
-    def hand_over(self, serves: bool) -> None:
+    def successor_changed(self, serves: bool) -> None:
         """A successor serves at the address, or does so no more."""
-        self.move(PhaseMove.SUCCEED if serves else PhaseMove.RESUME)
-        if self.term_us and not serves:
+        self.change_state(PhaseTransition.SUCCEED if serves else PhaseTransition.RESUME)
+        if self.sigterm_us and not serves:
             return
         self.core.effects.append(AcceptCallers(not serves))
         if serves:
             self.core.log(f"succeeded: {len(self.callers.by_stream)} connections, {len(self.calls.by_id)} calls")
-            self.drain(math.inf, math.inf)
-            self.leave_by_term()
+            self.start_drain(math.inf, math.inf)
+            self.limit_drain_by_sigterm()
         else:
             self.core.log("the successor has gone: this process takes callers again")
-            self.serve_again()
+            self.stop_drain()
 
-    def listens(self) -> None:
+    def listener_ready(self) -> None:
         """The listener serves."""
         self.listening = True
-        if not self.replaces:
+        if not self.replaces_predecessor:
             self.core.effects.append(AcceptCallers(True))
 
     def terminate(self) -> None:
         """SIGTERM: say by when all that is open is answered."""
-        self.move(PhaseMove.TERMINATE)
-        if self.term_us:
+        self.change_state(PhaseTransition.TERMINATE)
+        if self.sigterm_us:
             return
-        self.term_us = self.core.now
+        self.sigterm_us = self.core.now
         kill = min(self.longest_wait_us(), SIGTERM_MAX_WAIT_US) + SIGTERM_GRACE_US
         last = kill - SIGTERM_ANSWER_MARGIN_US
         # Guards what comes in the first 0.7 s where waits are so short that `last` lies before its end.
         end = max(last + SIGTERM_FLUSH_US, min(SIGTERM_GRACE_US, kill - SIGKILL_MARGIN_US))
-        self.term_last_us, self.term_exit_us = self.core.now + last, self.core.now + end
+        self.answer_all_by_us, self.exit_by_us = self.core.now + last, self.core.now + end
         for after in (SIGTERM_GRACE_US, last, end):
             self.timers.set(after, TimerKind.TERM)
-        self.leave_by_term()
+        self.limit_drain_by_sigterm()
 
     def longest_wait_us(self) -> int:
         """The longest wait of a caller, by which SIGKILL may come; the lesser one if settings have changed lately."""
@@ -199,44 +203,42 @@
             waits.append(max(c.give_up_us for c in self.classes.before.values()))
         return min(waits)
 
-    def term_due(self) -> None:
+    def sigterm_timer_due(self) -> None:
         """Guards against calls that the end of the program would leave without an answer."""
-        if self.core.now >= self.term_last_us and not self.answer_all:
-            self.answer_all = True
+        if self.core.now >= self.answer_all_by_us and not self.refuse_all:
+            self.refuse_all = True
             for call in [c for c in self.calls.by_id.values() if c.stands_at is None]:
                 self.calls.fail(call, "the program ends")
 
-    def go_on(self) -> None:
+    def advance(self) -> None:
         """At the end of each step: take over once ready, end once all is done."""
-        if self.replaces and not self.term_us and self.is_ready():
-            self.replaces = False
+        if self.replaces_predecessor and not self.sigterm_us and self.is_ready():
+            self.replaces_predecessor = False
             self.core.log("ready: this process takes over")
             self.core.effects.append(AcceptCallers(True))
-        if self.term_us and self.state is not PhaseState.EXITED and self.closed_for_the_end():
-            if self.succeeded:
+        if self.sigterm_us and self.state is not PhaseState.EXITED and self.close_for_exit():
+            if self.has_successor:
                 standing = [(c.ident, c.stands_at) for c in self.calls.by_id.values()]
                 self.core.effects.append(HandOverCalls(tuple((k, at) for k, at in standing if at is not None)))
-            self.move(PhaseMove.EXIT)
+            self.change_state(PhaseTransition.EXIT)
             self.core.effects.append(Exit())
 
-    def closed_for_the_end(self) -> bool:
+    def close_for_exit(self) -> bool:
         """Whether the program can end. Guards set-ups that callers go on sending on open connections: each is closed
         by itself, with nothing unread; what comes until then is refused at once, and what crosses the close is sent
         once more."""
-        if not self.closing_us:
-            if not self.finished():
+        if not self.closing_since_us:
+            if not self.is_work_done():
                 return False
-            self.closing_us = self.core.now
-            self.answer_all = True
+            self.closing_since_us = self.core.now
+            self.refuse_all = True
             for call in [c for c in self.calls.by_id.values() if c.stands_at is None]:
                 self.calls.fail(call, "the program ends")
-            self.close_idle()
-        late_us = max(self.closing_us + SIGTERM_MAX_CLOSE_US, self.term_last_us + SIGTERM_FLUSH_US)
-        return not self.callers.by_stream or self.core.now >= min(
-            late_us, self.term_exit_us + SIGTERM_CLOSE_INTERVAL_US
-        )
+            self.close_idle_for_exit()
+        late_us = max(self.closing_since_us + SIGTERM_MAX_CLOSE_US, self.answer_all_by_us + SIGTERM_FLUSH_US)
+        return not self.callers.by_stream or self.core.now >= min(late_us, self.exit_by_us + SIGTERM_CLOSE_INTERVAL_US)
 
-    def close_idle(self) -> None:
+    def close_idle_for_exit(self) -> None:
         """Close the connections of callers on which nothing is owed, for the end."""
         if self.state is PhaseState.EXITED:
             return
@@ -247,18 +249,18 @@
                 self.core.effects.append(CloseIdle(caller.ident))
 
     @property
-    def succeeded(self) -> bool:
+    def has_successor(self) -> bool:
         """Whether a successor serves at the address."""
         return self.state is PhaseState.SUCCEEDED or self.state is PhaseState.SUCCEEDED_ENDING
 
-    def leave_by_term(self) -> None:
+    def limit_drain_by_sigterm(self) -> None:
         """Where there is a successor, all connections are to be closed before SIGKILL may come."""
-        if self.term_us and self.succeeded:
-            span = self.term_last_us - self.term_us
-            self.last_us = self.term_us + SUCCEEDED_FORCE_CLOSE_SHARE * span
-            self.refuse_us = self.term_us + SUCCEEDED_REFUSE_SHARE * span
+        if self.sigterm_us and self.has_successor:
+            span = self.answer_all_by_us - self.sigterm_us
+            self.force_close_from_us = self.sigterm_us + SUCCEEDED_FORCE_CLOSE_SHARE * span
+            self.refuse_from_us = self.sigterm_us + SUCCEEDED_REFUSE_SHARE * span
 
-    def started(self, known: Iterable[ListUpdate], cursor: int) -> None:
+    def start(self, known: Iterable[ListUpdate], cursor: int) -> None:
         self.started_us = self.core.now
         self.timers.set(READY_TIMEOUT_US, TimerKind.READY)
         self.timers.set(SWEEP_INTERVAL_US, TimerKind.SWEEP)
--- a/latchturn/session/reducer.py
+++ b/latchturn/session/reducer.py
@@ -98,8 +98,8 @@
             self._met_fault(happened.message.call if isinstance(happened, MessageReceived) else 0)
         self._run_timers()
         self._settle()
-        if self.phases.replaces or self.phases.term_us:
-            self.phases.go_on()
+        if self.phases.replaces_predecessor or self.phases.sigterm_us:
+            self.phases.advance()
         return self.core.effects
 
     def wake_us(self) -> int | None:
@@ -153,16 +153,16 @@
             case ConnectFailed(stream, refused):
                 self.links.connect_failed(stream, refused)
             case ListUpdateReceived(update):
-                self.channel.heard(update.number)
+                self.channel.frame_received(update.number)
                 self.exchanges.apply_list_update(update)
             case ChannelLost(reason):
-                self.channel.ended(reason)
+                self.channel.connection_lost(reason)
             case AdminRequest(connection, command):
-                self.core.effects.append(Reply(connection, self.phases.operate(command)))
+                self.core.effects.append(Reply(connection, self.phases.handle_command(command)))
             case ListenerReady():
-                self.phases.listens()
+                self.phases.listener_ready()
             case OtherProcessUsage(descriptors, calls):
-                self.phases.other_holds, self.phases.other_calls = descriptors, calls
+                self.phases.other_descriptors, self.phases.other_calls = descriptors, calls
                 self.callers.make_room()
             case CallInherited(call, exchange):
                 self.calls.inherit(call, exchange)
@@ -170,14 +170,14 @@
                 if call in self.calls.by_id:
                     self.calls.told_over(self.calls.by_id[call], cause)
             case SuccessorChanged(serves):
-                self.phases.hand_over(serves)
+                self.phases.successor_changed(serves)
             case ConfigRejected(reason):
                 self.core.counters["sighup_rejected"] += 1
                 self.core.log(f"new configuration cannot be used, the old one stays: {reason}")
             case Started(known, cursor, channel, replaces):
-                self.phases.replaces = replaces
-                self.phases.started(known, cursor)
-                self.channel.follow(channel)
+                self.phases.replaces_predecessor = replaces
+                self.phases.start(known, cursor)
+                self.channel.connect(channel)
             case Reconfigured(known, channel, sockets, settings):
                 self._reconfigure(known, channel, sockets, settings)
             case Terminate():
@@ -200,7 +200,7 @@
             self.core.log("new settings: classes " + ", ".join(c.name for c in settings.classes))
         self.core.counters["sighup_applied"] += 1
         self.core.log(f"new configuration: command channel {channel[0]}:{channel[1]}, {sockets} sockets")
-        self.channel.move(channel)
+        self.channel.change_address(channel)
 
     def _settle(self) -> None:
         """Let the module answer all that came up, then write."""
@@ -245,14 +245,14 @@
                 self.links.partial_message_timeout(what)
         elif kind is TimerKind.RECONNECT and isinstance(what, Exchange):
             self.links.ensure_kept_links(what)
-        elif kind is TimerKind.CHANNEL and what == self.channel.times_asked:
-            self.channel.follow(self.channel.address)
+        elif kind is TimerKind.CHANNEL and what == self.channel.connect_count:
+            self.channel.connect(self.channel.address)
         elif kind is TimerKind.TERM:
-            self.phases.term_due()
+            self.phases.sigterm_timer_due()
         elif kind is TimerKind.CLOSE:
-            self.phases.close_idle()
-        elif kind is TimerKind.DRAIN and what == self.phases.drains:
-            self.phases.send_away()
+            self.phases.close_idle_for_exit()
+        elif kind is TimerKind.DRAIN and what == self.phases.drain_count:
+            self.phases.close_drained()
         elif kind is TimerKind.SWEEP:
             self.housekeeping.sweep()
 
--- a/latchturn/session/state.py
+++ b/latchturn/session/state.py
@@ -11,7 +11,7 @@
 
 from .. import interface as i
 from ..protocol import Message, Release, SetUp
-from .machines import STREAM, AttemptState, CallState, StreamMove, StreamState
+from .machines import STREAM, AttemptState, CallState, StreamState, StreamTransition
 from .timers import Timer
 from .trace import CloseReason
 
@@ -96,9 +96,9 @@
     half_us: int = 0  # since when its input ends within a message, 0 if it does not
     unconfirmed: dict[int, tuple[int, Release]] = field(default_factory=dict)  # call -> when written, what
 
-    def move(self, move: StreamMove) -> None:
-        """Go on to the next state; ImpossibleMove if the table has none."""
-        self.state = STREAM.go(self.state, move)
+    def change_state(self, transition: StreamTransition) -> None:
+        """Go on to the next state; InvalidTransition if the table has none."""
+        self.state = STREAM.next_state(self.state, transition)
         self.up = self.state is StreamState.UP or self.state is StreamState.FINISHING
 
 
--- a/latchturn/session/trace.py
+++ b/latchturn/session/trace.py
@@ -33,10 +33,10 @@
     LINK_CLOSED = "link closed"
     EXCHANGE_LISTED = "exchange listed"
     EXCHANGE_QUIET = "exchange quiet"
-    EXCHANGE_HEARD = "exchange heard again"
+    EXCHANGE_RESPONSIVE = "exchange heard again"
     EXCHANGE_DEAD = "exchange dead"
-    CHANNEL_ASKED = "command channel asked"
-    CHANNEL_TOLD = "command channel answers"
+    CHANNEL_CONNECTING = "command channel asked"
+    CHANNEL_ANSWERED = "command channel answers"
     CHANNEL_LOST = "command channel lost"
     PHASE = "phase"
 
@@ -46,9 +46,9 @@
         TraceEvent.LINK_CLOSED,
         TraceEvent.EXCHANGE_LISTED,
         TraceEvent.EXCHANGE_QUIET,
-        TraceEvent.EXCHANGE_HEARD,
+        TraceEvent.EXCHANGE_RESPONSIVE,
         TraceEvent.EXCHANGE_DEAD,
-        TraceEvent.CHANNEL_TOLD,
+        TraceEvent.CHANNEL_ANSWERED,
         TraceEvent.CHANNEL_LOST,
         TraceEvent.PHASE,
     )
--- a/latchturn/session/writing.py
+++ b/latchturn/session/writing.py
@@ -7,7 +7,7 @@
 from .component import Component
 from .inputs_and_effects import Close, Write
 from .limits import CALLER_RELEASE_TTL_US, MAX_OUTBOX_MESSAGES, MAX_WRITE_MESSAGES, RECENT_WRITE_US
-from .machines import ATTEMPT, AttemptMove, StreamMove
+from .machines import ATTEMPT, AttemptTransition, StreamTransition
 from .state import Attempt, Caller, GiveUpDue, Link, Outgoing, Stream
 from .trace import CloseReason, TraceEvent
 
@@ -52,7 +52,7 @@
             self.drop(self.links.by_stream[stream], reason)
         elif stream in self.callers.by_stream:
             caller = self.callers.by_stream[stream]
-            caller.move(StreamMove.FINISH)
+            caller.change_state(StreamTransition.FINISH)
             self.callers.close_if_finished(caller)
 
     def peer_reset(self, stream: int) -> None:
@@ -113,7 +113,7 @@
                 if item.attempt.call.attempt is item.attempt:
                     self.attempts.end(item.attempt, i.Outcome.TIMED_OUT)
             elif isinstance(item, Attempt):
-                item.state = ATTEMPT.go(item.state, AttemptMove.WRITTEN)
+                item.state = ATTEMPT.next_state(item.state, AttemptTransition.WRITTEN)
                 self.core.counters["forwards"] += 1
             elif isinstance(item, Release):
                 stream.unconfirmed[item.call] = (self.core.now, item)
--- a/tests/test_checking.py
+++ b/tests/test_checking.py
@@ -22,7 +22,7 @@
 from latchturn.checking.walks import breaks, shorten, walk
 from latchturn.checking.world import World
 from latchturn.cli.__main__ import main
-from latchturn.session.machines import CALL, MACHINES, CallMove, CallState, ImpossibleMove, Machine
+from latchturn.session.machines import CALL, MACHINES, CallState, CallTransition, InvalidTransition, Machine
 from tests.helpers import Desk, listed, set_up
 
 PATH = (("set_up", 1), ("refuse", -1, 1, "reset"))
@@ -32,19 +32,19 @@
     def test_each_table_names_every_pair_once(self) -> None:
         for machine in MACHINES:
             for state in machine.states:
-                for move in machine.inputs:
-                    if reason := machine.never.get((state, move)):
-                        with self.assertRaisesRegex(ImpossibleMove, "met"):
-                            machine.go(state, move)
+                for move in machine.transitions:
+                    if reason := machine.impossible.get((state, move)):
+                        with self.assertRaisesRegex(InvalidTransition, "met"):
+                            machine.next_state(state, move)
                         self.assertGreater(len(reason), 10)
                     else:
-                        self.assertIn(machine.go(state, move), list(machine.states))
+                        self.assertIn(machine.next_state(state, move), list(machine.states))
 
     def test_a_table_with_a_hole_or_a_pair_twice_is_turned_down(self) -> None:
-        whole = {(a, b): CallState.OVER for a in CallState for b in CallMove}
-        for moves, never in (({}, {}), (whole, {(CallState.OVER, CallMove.FORGET): "x"})):
+        whole = {(a, b): CallState.OVER for a in CallState for b in CallTransition}
+        for moves, never in (({}, {}), (whole, {(CallState.OVER, CallTransition.FORGET): "x"})):
             with self.assertRaises(ValueError):
-                Machine("broken", CallState, CallMove, moves, never)
+                Machine("broken", CallState, CallTransition, moves, never)
 
     def test_an_impossible_move_is_counted_logged_and_fails_its_call_alone(self) -> None:
         desk = Desk()
@@ -55,7 +55,7 @@
         self.assertEqual(desk.session.counters["errors"], 2)  # at the answer, and again as it is failed
         self.assertLessEqual(len([m for k, m in written if k == 1]), 1)
         self.assertEqual(desk.hear(desk.link[2], p.Answer(6, b"yes")), [(1, p.Answer(6, b"yes"))])
-        self.assertEqual(CALL.go(CallState.OWED, CallMove.ANSWER), CallState.STANDING)
+        self.assertEqual(CALL.next_state(CallState.OWED, CallTransition.ANSWER), CallState.STANDING)
 
 
 class Mended(unittest.TestCase):
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -710,10 +710,10 @@
         # The module was offered a call that had been failed in the same step, and sent it.
         desk = Desk(far=3)
         desk.do(s.Terminate())
-        last_us = desk.session.phases.term_last_us
+        last_us = desk.session.phases.answer_all_by_us
         for call in range(10, 14):
             desk.hear(1, set_up(call, to=1 + call % 2 * 2, wait_ms=9000))  # something to wait for
-            desk.pass_time((last_us - desk.session.phases.term_us) // 4 - 1)
+            desk.pass_time((last_us - desk.session.phases.sigterm_us) // 4 - 1)
         desk.hear(1, set_up(5, wait_ms=9000))
         desk.now = last_us
         written = desk.hear(1, set_up(6, to=2, wait_ms=9000))
@@ -741,7 +741,7 @@
             began, heard = desk.now, False
             while desk.now < began + 20 * SECOND and not heard:
                 desk.pass_time(SECOND // 20)
-                asked = desk.session.channel.last_received_us if not desk.session.channel.answers else desk.now
+                asked = desk.session.channel.last_received_us if not desk.session.channel.has_answered else desk.now
                 if len(desk.follows) > 1 and desk.now - asked >= late_us:
                     heard = True
             self.assertTrue(heard, f"{late_us}")
