--- a/latchturn/brain.py
+++ b/latchturn/brain.py
@@ -124,7 +124,7 @@
         self.hold_until = 0  # no set-up before this (named waits, suspicion)
         self.silences = 0
         self.answered_us = 0
-        self.hold_back = 0.0
+        self.throttle_share = 0.0
         self.can_take = 0.0  # most set-ups a second that it ever reported
         self.turned_back: dict[int, tuple[int, int]] = {}  # destination number -> times in a row, until when
         self.reaches: set[int] = set()  # destinations to which a call over this tandem has stood
@@ -136,7 +136,7 @@
 
     def pressed(self) -> bool:
         """Whether its processor shows pressure, by its answers or by its reports."""
-        return self.window < TWO_LEG_WINDOW or self.hold_back >= HOLD_BACK_PRESSED or self.silences > 0
+        return self.window < TWO_LEG_WINDOW or self.throttle_share >= HOLD_BACK_PRESSED or self.silences > 0
 
 
 @dataclass(slots=True)
@@ -159,9 +159,9 @@
     tried: list[int] = field(default_factory=list)
 
     @property
-    def worth(self) -> float:
+    def value_per_circuit(self) -> float:
         """Worth for each circuit."""
-        return self.cls.worth / self.offer.width
+        return self.cls.value / self.offer.width
 
 
 class Controller:
@@ -171,7 +171,7 @@
         self._use(settings)
         self.random = random.Random(seed)
         self.backs = 0.0  # share of two-leg set-ups that came back, smoothed
-        self.usual_us = USUAL_START * self.aim_us  # set-up time of direct calls, smoothed
+        self.usual_us = USUAL_START * self.shortest_target_us  # set-up time of direct calls, smoothed
         number = settings.own_number
         # Place among all proxies, from 0 to 1: numbers in a row lie evenly at steps of the golden ratio.
         self.place = number * 0.618034 % 1.0 if number >= 0 else self.random.random()
@@ -194,8 +194,8 @@
     def _use(self, settings: i.Settings) -> None:
         validate(settings)
         self.settings = settings
-        self.pools = settings.shape is i.Shape.POOLS
-        self.aim_us = min(c.aim_us for c in settings.classes)
+        self.pools = settings.topology is i.Topology.POOLS
+        self.shortest_target_us = min(c.target_us for c in settings.classes)
 
     def handle(self, now_us: int, event: i.Event) -> list[i.Action]:
         """What to do about one event."""
@@ -204,12 +204,12 @@
         if not self.started:
             self.started = True
             if self.settings.list_on_request:
-                self.actions.append(i.Follow())
+                self.actions.append(i.SubscribeToList())
         if isinstance(event, i.CallOffered):
             self._offered(event)
         elif isinstance(event, i.AttemptEnded):
             self._ended(event)
-        elif isinstance(event, i.CallStands):
+        elif isinstance(event, i.CallAnswered):
             self._stands(event)
         elif isinstance(event, i.ExchangeReport):
             self._told(event)
@@ -268,7 +268,7 @@
             group = self.groups.setdefault(entry.number, Group())
             known = self.exchanges[entry.exchange] = Exchange(entry.exchange, entry.number, group)
         ready = entry.state is i.ListState.READY
-        cold_until = entry.started_us + self.settings.warm_us if entry.started_us else 0
+        cold_until = entry.started_us + self.settings.warm_up_us if entry.started_us else 0
         if cold_until != known.cold_until:
             known.cold_until = cold_until
             if cold_until > self.now:
@@ -295,11 +295,11 @@
         self.calls[offer.call] = call
         if not offer.transit and call.first_us == self.now:
             gap = max(1, self.now - self.offers_us)
-            fade = min(1.0, gap / self.settings.warm_us)
+            fade = min(1.0, gap / self.settings.warm_up_us)
             self.offers += fade * (1e6 / gap - self.offers)
             self.offers_us = self.now
-        if self._number_busy(offer.called):
-            self._refuse(call, self.settings.max_stay_away_us, Reason.NUMBER_BUSY)
+        if self._number_busy(offer.called_number):
+            self._refuse(call, self.settings.max_retry_after_us, Reason.NUMBER_BUSY)
         elif not self._route(call):
             if offer.transit:
                 self._refuse(call, 0, Reason.NO_TRANSIT_ROUTE)
@@ -317,7 +317,7 @@
         if offer.transit:
             return self.now
         self.marked = self.marked or offer.redialled
-        first = self.failed.pop(offer.called, self.now)
+        first = self.failed.pop(offer.called_number, self.now)
         give_up = self.settings.classes[offer.class_index].give_up_us
         fresh = offer.cut_before or (self.marked and not offer.redialled)
         return self.now if fresh or self.now - first > give_up else first
@@ -325,11 +325,11 @@
     def _failed(self, call: Call) -> None:
         """Forget a call that did not stand, but for when its caller first tried."""
         del self.calls[call.offer.call]
-        if call.offer.called and not call.offer.transit:
-            _keep(self.failed, call.offer.called, call.first_us, CALLERS_KEPT)
+        if call.offer.called_number and not call.offer.transit:
+            _keep(self.failed, call.offer.called_number, call.first_us, CALLERS_KEPT)
 
     def _late(self, call: Call) -> bool:
-        return self.now - call.first_us >= call.cls.aim_us
+        return self.now - call.first_us >= call.cls.target_us
 
     def _route(self, call: Call) -> bool:
         """Send the call if the ordinary path and the guards admit it."""
@@ -349,14 +349,14 @@
         closed = closed or (self._cold(target) and not self._cold_open(target))
         if not closed and group.admits(cls, offer.width):
             begin = self.now if late else call.first_us
-            self._send(call, target, cls, int(begin + call.cls.aim_us * DIRECT_TIMEOUT - self.now))
+            self._send(call, target, cls, int(begin + call.cls.target_us * DIRECT_TIMEOUT - self.now))
             return True
         if offer.transit or late or target.pressed() or self._cold(target):
             return False
         best = self._tandem(call)
         if best is None:
             return False
-        self._send(call, best, TWO_LEG, int(call.cls.aim_us * TWO_LEG_TIMEOUT))
+        self._send(call, best, TWO_LEG, int(call.cls.target_us * TWO_LEG_TIMEOUT))
         return True
 
     def _tandem(self, call: Call) -> Exchange | None:
@@ -400,7 +400,7 @@
             call.tried.append(to.number)
         if call.waiting:
             self._leave_line(call)
-        timeout = min(call.offer.deadline_us - self.now, max(timeout, int(MIN_TIMEOUT * self.aim_us)))
+        timeout = min(call.offer.deadline_us - self.now, max(timeout, int(MIN_TIMEOUT * self.shortest_target_us)))
         self.actions.append(i.SendSetup(call.offer.call, to.exchange, timeout))
 
     def _used_up(self, call: Call) -> bool:
@@ -413,8 +413,8 @@
 
     def _wait(self, call: Call) -> None:
         """Hold a call in line until a circuit or a window opens, or its aim or its deadline is near."""
-        aim_near = call.first_us + int(call.cls.aim_us * WAIT_SHARE)
-        least = max(int(ANSWER_MARGIN * self.aim_us), int(LEAST_TIME * self.usual_us))
+        aim_near = call.first_us + int(call.cls.target_us * WAIT_SHARE)
+        least = max(int(ANSWER_MARGIN * self.shortest_target_us), int(LEAST_TIME * self.usual_us))
         call.until = min(aim_near, call.offer.deadline_us - least)
         if reason := self._given_up(call):
             self._refuse(call, self._stay_away(call), reason)
@@ -457,15 +457,15 @@
         is likely within its aim."""
         target = self.by_number.get(call.offer.destination)
         if target is None or not target.ready or not target.group.told:
-            return self.settings.max_stay_away_us
+            return self.settings.max_retry_after_us
         group = target.group
         short = max(0, call.offer.width - group.told_free)
         frees = int(short * call.cls.holding_us / max(1, group.size - group.told_free))
-        if self.now + frees >= call.first_us + call.cls.aim_us:
-            return self.settings.max_stay_away_us
+        if self.now + frees >= call.first_us + call.cls.target_us:
+            return self.settings.max_retry_after_us
         # Guards against callers that come too late for their aim where nothing but chance stood in the way:
         # an exchange that fails set-ups at random has used the call's attempts up.
-        soon = int(SOON * self.aim_us) if self._used_up(call) else 0
+        soon = int(SOON * self.shortest_target_us) if self._used_up(call) else 0
         return max(frees, self._opens(call) - self.now, soon)
 
     def _yields(self, call: Call) -> bool:
@@ -474,7 +474,7 @@
         Guards against narrow calls that take every freed circuit before a wide one can have all of its own.
         """
         line = self.lines.get(call.offer.destination, ())
-        return any(c.offer.width > call.offer.width and c.worth >= call.worth for c in line)
+        return any(c.offer.width > call.offer.width and c.value_per_circuit >= call.value_per_circuit for c in line)
 
     def _leave_line(self, call: Call) -> None:
         call.waiting = False
@@ -489,7 +489,7 @@
         if not line:
             return
         blocked = False
-        for call in sorted(line, key=lambda c: (-c.worth, c.first_us, c.offer.call)):
+        for call in sorted(line, key=lambda c: (-c.value_per_circuit, c.first_us, c.offer.call)):
             if reason := self._given_up(call):
                 self._refuse(call, self._stay_away(call), reason)
             elif not blocked and not self._route(call) and self.now >= call.not_before:
@@ -499,17 +499,17 @@
         if call.waiting:
             self._leave_line(call)
         self._failed(call)
-        stay_away = min(stay_away, self.settings.max_stay_away_us)
+        stay_away = min(stay_away, self.settings.max_retry_after_us)
         self.actions.append(i.Refuse(call.offer.call, stay_away, reason))
 
-    def _stands(self, event: i.CallStands) -> None:
+    def _stands(self, event: i.CallAnswered) -> None:
         call = self.calls.get(event.call)
         if call is None or not call.out or call.at is None:
             return
         call.out = False
         call.at.out -= 1
         self._answered(call, call.at)
-        self.busy.pop(call.offer.called, None)
+        self.busy.pop(call.offer.called_number, None)
         if call.two_leg:
             call.at.turned_back.pop(call.offer.destination, None)
             call.at.reaches.add(call.offer.destination)
@@ -526,7 +526,7 @@
         took = self.now - call.sent_us
         if not call.two_leg:
             self.usual_us += ANSWER_FADE * (took - self.usual_us)
-        if took <= self.aim_us * PROMPT_SHARE:
+        if took <= self.shortest_target_us * PROMPT_SHARE:
             at.window = min(WINDOW_MOST, at.window + 1.0)
         elif not call.two_leg or call.offer.transit:
             self._shrink(at, call.sent_us)
@@ -560,20 +560,20 @@
                 self._failed(call)
             else:
                 del self.calls[event.call]
-        elif call.cls.once and outcome not in NEVER_RAN:
+        elif call.cls.at_most_once and outcome not in NEVER_RAN:
             # Guards against effects that come twice: its caller would try a refused call again.
             self._failed(call)
-            self.actions.append(i.GiveUp(event.call, Reason.MAY_HAVE_RUN))
+            self.actions.append(i.Fail(event.call, Reason.MAY_HAVE_RUN))
         elif cause is i.Cause.NUMBER_BUSY:
-            self._refuse(call, self.settings.max_stay_away_us, Reason.NUMBER_BUSY)
+            self._refuse(call, self.settings.max_retry_after_us, Reason.NUMBER_BUSY)
         elif call.offer.transit:
             self._refuse(call, 0, Reason.TRANSIT_ATTEMPT_ENDED)
         elif outcome is i.Outcome.NOT_SENT and cause is i.Cause.PROCESSOR_FULL:
             # Guards against spending all attempts at once while the own processor is out of service.
-            self._refuse(call, self.settings.max_stay_away_us, Reason.OWN_PROCESSOR_FULL)
+            self._refuse(call, self.settings.max_retry_after_us, Reason.OWN_PROCESSOR_FULL)
         elif self._hopeless(call):
             self._failed(call)
-            self.actions.append(i.GiveUp(event.call, Reason.TOO_LITTLE_TIME))
+            self.actions.append(i.Fail(event.call, Reason.TOO_LITTLE_TIME))
         elif call.not_before > self.now or not self._route(call):
             self._wait(call)
         self._serve(at.number)
@@ -593,18 +593,18 @@
             if cause is i.Cause.PROCESSOR_FULL:
                 at.window = 1.0
                 at.hold_until = max(at.hold_until, self.now + max(event.wait_us, self.settings.release_us))
-            elif cause in (i.Cause.TURNED_BACK, i.Cause.FAR_PROCESSOR_FULL) and call.two_leg:
+            elif cause in (i.Cause.REFUSED_BY_TANDEM, i.Cause.DESTINATION_PROCESSOR_FULL) and call.two_leg:
                 self.backs += ANSWER_FADE * (1.0 - self.backs)
                 # Guards against tandems whose onward group stays full: their turn-backs feed processors.
                 times = at.turned_back.get(call.offer.destination, NEVER)[0]
                 pause = min(TURN_BACK_MOST, TURN_BACK_FIRST * 2 ** min(times, 20))
-                at.turned_back[call.offer.destination] = (times + 1, self.now + int(self.aim_us * pause))
-            if cause is i.Cause.FAR_PROCESSOR_FULL:
+                at.turned_back[call.offer.destination] = (times + 1, self.now + int(self.shortest_target_us * pause))
+            if cause is i.Cause.DESTINATION_PROCESSOR_FULL:
                 target = self.by_number.get(call.offer.destination)
                 if target is not None:
                     self._shrink(target, call.sent_us)
-            if cause is i.Cause.NUMBER_BUSY and call.offer.called:
-                self._mark_busy(call.offer.called)
+            if cause is i.Cause.NUMBER_BUSY and call.offer.called_number:
+                self._mark_busy(call.offer.called_number)
 
     def _silent(self, at: Exchange) -> None:
         """Guards against hung and cut-off exchanges: silence spaces further set-ups out."""
@@ -616,16 +616,16 @@
             if at.silences == SILENCES:
                 self._log(f"exchange {at.number} is silent, tried sparingly")
 
-    def _mark_busy(self, called: int) -> None:
-        gap = self.aim_us * BUSY_GAP * self.settings.proxies
-        _keep(self.busy, called, self.now + int(gap), NUMBERS_KEPT)
+    def _mark_busy(self, called_number: int) -> None:
+        gap = self.shortest_target_us * BUSY_GAP * self.settings.controllers
+        _keep(self.busy, called_number, self.now + int(gap), NUMBERS_KEPT)
 
-    def _number_busy(self, called: int) -> bool:
+    def _number_busy(self, called_number: int) -> bool:
         """Guards against a hot number: after 'all lines busy' one set-up in each gap may try it."""
-        until = self.busy.get(called)
+        until = self.busy.get(called_number)
         if until is None or self.now < until:
             return until is not None
-        self._mark_busy(called)
+        self._mark_busy(called_number)
         return False
 
     def _left(self, event: i.CallerLeft) -> None:
@@ -643,7 +643,7 @@
         if ident is None:
             return
         if ident == -1:
-            self.actions.append(i.Follow())
+            self.actions.append(i.SubscribeToList())
             return
         call = self.calls.get(ident)
         if call is None or not call.waiting or self._route(call):
@@ -665,14 +665,14 @@
             self._report(far, event.report)
             self._serve(far.number)
 
-    def _report(self, far: Exchange, report: i.Report) -> None:
+    def _report(self, far: Exchange, report: i.LoadReport) -> None:
         group = far.group
         if report.size is not None and (report.size != group.size or not group.told):
             group.resize(report.size)
         if report.free is not None:
             group.told_free = report.free
-        if report.hold_back is not None:
-            far.hold_back = report.hold_back
+        if report.throttle_share is not None:
+            far.throttle_share = report.throttle_share
         if report.setups_per_s is not None:
             far.can_take = max(far.can_take, report.setups_per_s)
 
@@ -686,7 +686,7 @@
         gap, at a place in it that hangs on its number: turns of all proxies lie evenly, from the first on,
         however late each hears of the start and whether it restarts itself.
         """
-        start = far.cold_until - self.settings.warm_us + int(self.place * gap)
+        start = far.cold_until - self.settings.warm_up_us + int(self.place * gap)
         return start + -((start - after) // gap) * gap
 
     def _cold_open(self, far: Exchange) -> bool:
@@ -708,8 +708,8 @@
         s = self.settings
         told = sorted(e.can_take for e in self.exchanges.values() if e.can_take > 0)
         takes = 2.0 * self.offers + (told[len(told) // 2] if told else self.offers)
-        each = COLD_SAFETY * s.fall_multiple * s.cold_from * takes / s.proxies
-        return int(1e6 / each) if each > 0.0 else 2 * s.warm_us
+        each = COLD_SAFETY * s.collapse_multiple * s.cold_start_share * takes / s.controllers
+        return int(1e6 / each) if each > 0.0 else 2 * s.warm_up_us
 
     def _log(self, text: str) -> None:
         self.actions.append(i.Log(text))
@@ -731,14 +731,14 @@
 
     need(len(s.classes) > 0, "classes", s.classes)
     for k, c in enumerate(s.classes):
-        need(c.aim_us > 0, f"classes[{k}].aim_us", c.aim_us)
+        need(c.target_us > 0, f"classes[{k}].target_us", c.target_us)
         need(c.give_up_us > 0, f"classes[{k}].give_up_us", c.give_up_us)
         need(c.width > 0, f"classes[{k}].width", c.width)
         need(c.holding_us > 0, f"classes[{k}].holding_us", c.holding_us)
-        need(c.worth >= 0, f"classes[{k}].worth", c.worth)
-    for name in ("proxies", "max_attempts", "warm_us", "fall_us"):
+        need(c.value >= 0, f"classes[{k}].value", c.value)
+    for name in ("controllers", "max_attempts", "warm_up_us", "collapse_us"):
         need(getattr(s, name) > 0, name, getattr(s, name))
-    for name in ("release_us", "drain_grace_us", "ask_within_us", "max_stay_away_us", "resend_us"):
+    for name in ("release_us", "drain_grace_us", "ask_within_us", "max_retry_after_us", "resend_us"):
         need(getattr(s, name) >= 0, name, getattr(s, name))
-    need(0 < s.cold_from <= 1, "cold_from", s.cold_from)
-    need(s.fall_multiple > 0, "fall_multiple", s.fall_multiple)
+    need(0 < s.cold_start_share <= 1, "cold_start_share", s.cold_start_share)
+    need(s.collapse_multiple > 0, "collapse_multiple", s.collapse_multiple)
--- a/latchturn/interface.py
+++ b/latchturn/interface.py
@@ -10,7 +10,7 @@
 from enum import Enum, IntEnum
 
 
-class Shape(IntEnum):
+class Topology(IntEnum):
     """How exchanges are joined."""
 
     MESH = 0  # trunk groups between exchanges, calls may go over one tandem
@@ -52,10 +52,10 @@
 
     NONE = 0
     NO_CIRCUIT = 1
-    TURNED_BACK = 2  # by the tandem
+    REFUSED_BY_TANDEM = 2  # by the tandem
     PROCESSOR_FULL = 3
     NUMBER_BUSY = 4
-    FAR_PROCESSOR_FULL = 5  # turned back, the processor beyond the tandem was full
+    DESTINATION_PROCESSOR_FULL = 5  # turned back, the processor beyond the tandem was full
 
 
 @dataclass(slots=True, frozen=True)
@@ -63,14 +63,14 @@
     """One class of calls."""
 
     name: str
-    worth: float
+    value: float
     late_share: float  # share of the worth that a late set-up earns
-    aim_us: int
+    target_us: int
     give_up_us: int
     width: int  # circuits on each trunk group
     holding_us: int
     pools: tuple[int, ...] = ()  # shape POOLS: numbers of the pools that it may go to
-    once: bool = False  # an attempt that may have run must not be repeated, nor the call refused after it
+    at_most_once: bool = False  # an attempt that may have run must not be repeated, nor the call refused after it
 
 
 @dataclass(slots=True, frozen=True)
@@ -78,36 +78,36 @@
     """What a controller is told at its start, and with `SettingsChanged`."""
 
     classes: tuple[CallClass, ...]
-    shape: Shape
+    topology: Topology
     own_number: int  # number of the own exchange, -1 with pools
-    proxies: int  # how many proxies there are in all
+    controllers: int  # how many proxies there are in all
     max_attempts: int
     release_us: int
     drain_grace_us: int
-    cold_from: float
-    warm_us: int
-    fall_multiple: float
-    fall_us: int
+    cold_start_share: float
+    warm_up_us: int
+    collapse_multiple: float
+    collapse_us: int
     connect_timeout_us: int
     list_on_request: bool
     ask_within_us: int
-    max_stay_away_us: int  # 0: callers are not told when to come back
+    max_retry_after_us: int  # 0: callers are not told when to come back
     resend_us: int
-    late_price: float = 0.0  # what worth left unserved after its aim costs
+    late_penalty: float = 0.0  # what worth left unserved after its aim costs
     tenants: tuple[str, ...] = ()  # names; none where there are no tenants
 
 
 @dataclass(slots=True)
-class Report:
+class LoadReport:
     """A load report; absent figures are None."""
 
     free: int | None = None
     size: int | None = None
     setups_per_s: float | None = None  # new set-ups it can take from all senders
-    hold_back: float | None = None  # share of new set-ups it asks each sender to hold back
+    throttle_share: float | None = None  # share of new set-ups it asks each sender to hold back
     wait_us: int | None = None
     busy_share: float | None = None
-    in_line: float | None = None
+    queue_length: float | None = None
 
 
 @dataclass(slots=True)
@@ -135,17 +135,17 @@
     call: int
     class_index: int
     destination: int
-    called: int  # stands for the called number, 0: unknown
+    called_number: int  # stands for the called number, 0: unknown
     width: int
     deadline_us: int
     transit: bool = False
     redialled: bool = False
     cut_before: bool = False
-    advised: int = -1  # number of the advised tandem, or where a transit call comes from
+    via: int = -1  # number of the advised tandem, or where a transit call comes from
 
 
 @dataclass(slots=True)
-class CallStands:
+class CallAnswered:
     """Event: an attempt was set up and the call is through."""
 
     call: int
@@ -166,7 +166,7 @@
     concluded: bool
     cause: Cause = Cause.NONE
     wait_us: int = 0
-    report: Report | None = None
+    report: LoadReport | None = None
 
 
 @dataclass(slots=True)
@@ -182,9 +182,9 @@
 
     exchange: int
     answered: bool
-    asked: bool
+    probed: bool
     elapsed_us: int
-    report: Report
+    report: LoadReport
 
 
 @dataclass(slots=True)
@@ -202,7 +202,7 @@
 
 
 Event = (
-    ExchangeList | CallOffered | CallStands | AttemptEnded | CallerLeft | ExchangeReport | TimerDue
+    ExchangeList | CallOffered | CallAnswered | AttemptEnded | CallerLeft | ExchangeReport | TimerDue
     | SettingsChanged
 )  # fmt: skip
 
@@ -240,12 +240,12 @@
     """Action: final answer, turned away (or transit turned back)."""
 
     call: int
-    stay_away_us: int
+    retry_after_us: int
     reason: FinalReason = field(default=FinalReason.UNKNOWN, compare=False)
 
 
 @dataclass(slots=True)
-class GiveUp:
+class Fail:
     """Action: final answer, failed."""
 
     call: int
@@ -261,7 +261,7 @@
 
 
 @dataclass(slots=True)
-class Follow:
+class SubscribeToList:
     """Action: subscribe to changes of the exchange list."""
 
 
@@ -272,4 +272,4 @@
     text: str
 
 
-Action = SendSetup | Refuse | GiveUp | SetTimer | Follow | Log
+Action = SendSetup | Refuse | Fail | SetTimer | SubscribeToList | Log
--- a/latchturn/session/attempts.py
+++ b/latchturn/session/attempts.py
@@ -80,7 +80,7 @@
         outcome: i.Outcome,
         concluded: bool = False,
         cause: i.Cause = i.Cause.NONE,
-        report: i.Report | None = None,
+        report: i.LoadReport | None = None,
     ) -> None:
         """It came to nothing: the module hears how."""
         call = attempt.call
--- a/latchturn/session/exchanges.py
+++ b/latchturn/session/exchanges.py
@@ -27,8 +27,8 @@
 
 CAUSE_BY_NOTE = {
     "no_circuit": i.Cause.NO_CIRCUIT,
-    "turned_back": i.Cause.TURNED_BACK,
-    "far_overload": i.Cause.FAR_PROCESSOR_FULL,
+    "turned_back": i.Cause.REFUSED_BY_TANDEM,
+    "far_overload": i.Cause.DESTINATION_PROCESSOR_FULL,
     "overload": i.Cause.PROCESSOR_FULL,
     "lines_busy": i.Cause.NUMBER_BUSY,
 }
@@ -109,7 +109,7 @@
                 self.attempts.end(attempt, i.Outcome.NOT_SENT)
 
     def is_usable(self, exchange: Exchange) -> bool:
-        own = self.classes.settings.shape is i.Shape.MESH and exchange.number == self.classes.settings.own_number
+        own = self.classes.settings.topology is i.Topology.MESH and exchange.number == self.classes.settings.own_number
         return exchange.state is not i.ListState.GONE and not own
 
     def send_release(self, exchange: Exchange, release: Release) -> None:
@@ -208,7 +208,7 @@
         self.calls.release_unsure(call)
         exchange.standing_calls.add(call.ident)
         self.core.events.append(
-            i.CallStands(call.ident, attempt.number, exchange.ident, self.core.now - attempt.started_us)
+            i.CallAnswered(call.ident, attempt.number, exchange.ident, self.core.now - attempt.started_us)
         )
         if answer.report is not None:
             self.pass_on_report(exchange, answer.report)
@@ -249,5 +249,5 @@
                 self.end_notices.send(0, Release(release.call, release.cause))
 
 
-def _load_report(figures: Mapping[str, float]) -> i.Report:
+def _load_report(figures: Mapping[str, float]) -> i.LoadReport:
     return read_report((REPORT_FIELDS.get(name), value) for name, value in figures.items())
