--- a/latchturn/session/phases.py
+++ b/latchturn/session/phases.py
@@ -64,7 +64,7 @@
     def change_state(self, transition: PhaseTransition) -> None:
         """Go on to the next phase; InvalidTransition if the table has none."""
         before, self.state = self.state, PHASE.next_state(self.state, transition)
-        open_ = sum(call.stands_at is None for call in self.calls.by_id.values())
+        open_ = sum(call.standing_exchange is None for call in self.calls.by_id.values())
         text = f"{before.name} to {self.state.name} by {transition.name}: {len(self.callers.by_stream)} connections"
         text += f", {open_} calls open, {len(self.calls.by_id) - open_} stand"
         self.core.note(TraceEvent.PHASE, reason=text)
@@ -72,7 +72,7 @@
     def is_work_done(self) -> bool:
         """After SIGTERM: whether all that was taken is answered, and nothing new can come in."""
         since = self.core.now - self.sigterm_us
-        busy = any(c.owed or c.outbox or c.in_flight for c in self.callers.by_stream.values())
+        busy = any(c.unanswered or c.outbox or c.in_flight for c in self.callers.by_stream.values())
         busy = busy or any(k.up and (k.outbox or k.in_flight) for k in self.links.by_stream.values())
         if self.core.now >= self.exit_by_us:
             return True
@@ -82,7 +82,7 @@
 
     def figures(self) -> dict[str, int]:
         """Every figure as it is now: those of the operators' table, then the other counters."""
-        names = [operations.by_class(n, c) for c in self.classes.served for n in operations.BY_CLASS]
+        names = [operations.class_figure_name(n, c) for c in self.classes.served for n in operations.CLASS_FIGURES]
         counted = ("forwards", "sighup_applied", "sighup_rejected")
         figures = {name: self.core.counters[name] for name in (*names, *counted)}
         # Those that stand too: they have not ended. Two processes are one session controller.
@@ -93,12 +93,12 @@
 
     def handle_command(self, command: operations.Command | None) -> bytes:
         if command is operations.Command.PING:
-            return operations.answer(self.phase is Phase.SERVING, self.phase.value)
+            return operations.encode_answer(self.phase is Phase.SERVING, self.phase.value)
         if command is operations.Command.INFO:
-            return operations.answer(True, self.phase.value, self.figures())
+            return operations.encode_answer(True, self.phase.value, self.figures())
         if command is not None:
             if self.phase is Phase.ENDING:
-                return operations.answer(False, self.phase.value)
+                return operations.encode_answer(False, self.phase.value)
             if command is operations.Command.REJOIN:
                 self.change_state(PhaseTransition.REJOIN)
                 self.stop_drain()
@@ -106,8 +106,8 @@
                 self.core.log(f"draining: {len(self.callers.by_stream)} connections, {len(self.calls.by_id)} calls")
                 self.change_state(PhaseTransition.DRAIN)
                 self.start_drain(self.core.now + DRAIN_REFUSE_US, self.core.now + DRAIN_FORCE_CLOSE_US)
-            return operations.answer(True, self.phase.value)
-        return operations.answer(False, "this can be asked: " + " ".join(c.value for c in operations.Command))
+            return operations.encode_answer(True, self.phase.value)
+        return operations.encode_answer(False, "this can be asked: " + " ".join(c.value for c in operations.Command))
 
     @property
     def phase(self) -> Phase:
@@ -153,12 +153,12 @@
         patient = self.core.now < self.force_close_from_us
         # Ends of calls that stand are owed within 1 s, and no other connection may come for them: theirs stay until
         # these are told, and new set-ups on them are refused. A successor hears of the ends and passes them on.
-        needed = {call.caller for call in self.calls.by_id.values()}
+        needed = {call.caller_stream for call in self.calls.by_id.values()}
         for caller in self.callers.by_stream.values():
-            speaks = patient and (caller.half_us or self.core.now - caller.accepted_us < DRAIN_MIN_OPEN_US)
+            speaks = patient and (caller.partial_since_us or self.core.now - caller.accepted_us < DRAIN_MIN_OPEN_US)
             needs = caller.ident in needed and (patient or not self.has_successor)
             if caller.idle and not caller.finishing and not speaks and not needs:
-                caller.closing = CloseReason.DRAINED
+                caller.close_reason = CloseReason.DRAINED
                 self.core.effects.append(CloseIdle(caller.ident))
 
     def successor_changed(self, serves: bool) -> None:
@@ -207,7 +207,7 @@
         """Guards against calls that the end of the program would leave without an answer."""
         if self.core.now >= self.answer_all_by_us and not self.refuse_all:
             self.refuse_all = True
-            for call in [c for c in self.calls.by_id.values() if c.stands_at is None]:
+            for call in [c for c in self.calls.by_id.values() if c.standing_exchange is None]:
                 self.calls.fail(call, "the program ends")
 
     def advance(self) -> None:
@@ -218,7 +218,7 @@
             self.core.effects.append(AcceptCallers(True))
         if self.sigterm_us and self.state is not PhaseState.EXITED and self.close_for_exit():
             if self.has_successor:
-                standing = [(c.ident, c.stands_at) for c in self.calls.by_id.values()]
+                standing = [(c.ident, c.standing_exchange) for c in self.calls.by_id.values()]
                 self.core.effects.append(HandOverCalls(tuple((k, at) for k, at in standing if at is not None)))
             self.change_state(PhaseTransition.EXIT)
             self.core.effects.append(Exit())
@@ -232,7 +232,7 @@
                 return False
             self.closing_since_us = self.core.now
             self.refuse_all = True
-            for call in [c for c in self.calls.by_id.values() if c.stands_at is None]:
+            for call in [c for c in self.calls.by_id.values() if c.standing_exchange is None]:
                 self.calls.fail(call, "the program ends")
             self.close_idle_for_exit()
         late_us = max(self.closing_since_us + SIGTERM_MAX_CLOSE_US, self.answer_all_by_us + SIGTERM_FLUSH_US)
@@ -245,7 +245,7 @@
         self.timers.set(SIGTERM_CLOSE_INTERVAL_US, TimerKind.CLOSE)
         for caller in self.callers.by_stream.values():
             if caller.idle and not caller.finishing:
-                caller.closing = CloseReason.PROGRAM_ENDS
+                caller.close_reason = CloseReason.PROGRAM_ENDS
                 self.core.effects.append(CloseIdle(caller.ident))
 
     @property
