--- a/latchturn/checking/world.py
+++ b/latchturn/checking/environment.py
@@ -16,7 +16,7 @@
 from .. import protocol as p
 from .. import session as s
 from ..session.timers import Timer, TimerKind
-from .ledger import Event, Ledger
+from .history import History, Observation
 from .properties import NOTHING_LEFT, PROPERTIES
 from .remains import hanging, remains
 from .scopes import SETTINGS, VARIANTS, WAIT_MS, Scope
@@ -25,7 +25,7 @@
 MOMENT = START >> 1
 Choice = tuple[str | int, ...]
 CHANNEL = ("127.0.0.1", 9)
-CLASS = p.settings_word(SETTINGS.classes[0].name)
+CLASS = p.settings_text(SETTINGS.classes[0].name)
 REMEMBERED_US = 9_000_000  # ids of ended calls are known for 10 s, so they are not used again after that here
 # Steps of 1.5 s at the end. A release that waits for a link may be written in the first ones and is kept for 8 s.
 END_STEPS = 16
@@ -55,18 +55,18 @@
 AFTER = {"late", "twice", "astray"}  # words that come after all is over, and are the same at any moment
 
 
-class Middle(random.Random):
+class MedianRandom(random.Random):
     """Always draws the middle, and has no state that could tell two paths apart."""
 
     def random(self) -> float:
         return 0.5
 
     def __reduce__(self) -> tuple[object, ...]:
-        return (Middle, ())
+        return (MedianRandom, ())
 
 
 @dataclass(slots=True)
-class Far:
+class SimulatedExchange:
     """One exchange as it is, whatever the list says."""
 
     ident: int
@@ -78,7 +78,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class ReceivedSetUp:
     """A set-up that has reached an exchange: what may still be said of it."""
 
     call: int
@@ -91,7 +91,7 @@
     """One connection, seen from its other end."""
 
     far: int = 0  # exchange, 0 for a caller's
-    asked: dict[int, Asked] = field(default_factory=dict)
+    asked: dict[int, ReceivedSetUp] = field(default_factory=dict)
     stalled: bool = False
     held: tuple[p.Message, ...] | None = None  # being written, not through
     seen: bool = False  # what is held has reached the peer all the same
@@ -99,7 +99,7 @@
     half_closed: bool = False
 
 
-class Broken(Exception):
+class PropertyViolation(Exception):
     """A property does not hold: its name and what is wrong."""
 
     def __init__(self, name: str, message: str) -> None:
@@ -108,20 +108,20 @@
         self.message = message
 
 
-class World:
+class Environment:
     """The reducer among its peers, at one moment of one path."""
 
     def __init__(self, scope: Scope) -> None:
         self.scope = scope
-        self.now = START
+        self.now_us = START
         self.left = dict(scope.budgets)
         self.rare = scope.rare
         self.idle = scope.idle_moments
-        self.ledger = Ledger(SETTINGS, self._judge)
+        self.history = History(SETTINGS, self._check_properties)
         self.session = s.Session(SETTINGS, 1, 1024)
-        self.session.core.random = Middle()
-        self.session.decision_module.controller.random = Middle()
-        self.fars = {100 + k: Far(100 + k, k, 5000 + k) for k in range(1, scope.exchanges + 1)}
+        self.session.core.random = MedianRandom()
+        self.session.decision_module.controller.random = MedianRandom()
+        self.fars = {100 + k: SimulatedExchange(100 + k, k, 5000 + k) for k in range(1, scope.exchanges + 1)}
         self.peers: dict[int, Peer] = {}
         self.connecting: dict[int, tuple[int, int]] = {}  # link -> exchange, when it times out
         self.standing: dict[int, int] = {}  # call -> exchange, as exchanges have it
@@ -146,7 +146,7 @@
             self._accept(min(self.connecting))
         for _ in range(scope.callers if not scope.replaces else 0):
             self._call_in()
-        self.ledger.stepped()
+        self.history.step_done()
 
     @property
     def budgeted(self) -> bool:
@@ -166,7 +166,7 @@
             for link in list(self.connecting):
                 if self.connecting.get(link, (0, 0))[0] in self.fars:
                     self._answer_connect(link)
-        self.ledger.stepped()
+        self.history.step_done()
 
     def _feed(self, *inputs: s.Input) -> None:
         """Hand inputs to the reducer as the network does: what effects bring up follows at once, in order."""
@@ -174,19 +174,19 @@
         while queue:
             happened = queue.popleft()
             if self.story is not None:
-                self.story.append((self.now, happened))
-            self.ledger.now = self.now
-            self.ledger.heard(happened)
-            for effect in self.session.step(self.now, happened):
+                self.story.append((self.now_us, happened))
+            self.history.now_us = self.now_us
+            self.history.record_input(happened)
+            for effect in self.session.step(self.now_us, happened):
                 if self.story is not None:
-                    self.story.append((self.now, effect))
-                self.ledger.asked(effect)
+                    self.story.append((self.now_us, effect))
+                self.history.record_effect(effect)
                 self._run(effect, queue)
 
-    def _judge(self, event: Event) -> None:
-        for law in PROPERTIES:
-            if (wrong := law.breaks(self.ledger, event)) is not None:
-                raise Broken(law.name, wrong)
+    def _check_properties(self, event: Observation) -> None:
+        for property_ in PROPERTIES:
+            if (wrong := property_.violation(self.history, event)) is not None:
+                raise PropertyViolation(property_.name, wrong)
 
     def _run(self, effect: s.Effect, queue: deque[s.Input]) -> None:
         match effect:
@@ -201,7 +201,7 @@
                     queue.append(s.WriteCompleted(stream))
             case s.Connect(stream, address, timeout_us):
                 at = [f.ident for f in self.fars.values() if f.port == address[1]]
-                self.connecting[stream] = (at[-1] if at else 0, self.now + timeout_us)
+                self.connecting[stream] = (at[-1] if at else 0, self.now_us + timeout_us)
             case s.Close(stream):
                 if self.connecting.pop(stream, None) is not None:
                     queue.append(s.ConnectFailed(stream, False))
@@ -227,7 +227,7 @@
             return
         for message in messages:
             if isinstance(message, p.SetUp):
-                peer.asked[message.call] = Asked(message.call)
+                peer.asked[message.call] = ReceivedSetUp(message.call)
             elif isinstance(message, p.Release):
                 if message.call in peer.asked:
                     peer.asked[message.call].given_up = True
@@ -240,11 +240,11 @@
         """The next moment at which something is due, and whether it is the reducer's own."""
         own = min((at for at, _, t in self.session.timers.heap if self.alive(t)), default=None)
         others = [due for _, due in self.connecting.values()]
-        if (law := self.ledger.due()) is not None:
-            others.append(law)
+        if (deadline := self.history.next_due_us()) is not None:
+            others.append(deadline)
         other = min(others, default=None)
         if own is not None and (other is None or own <= other):
-            return max(own, self.now), True
+            return max(own, self.now_us), True
         return None if other is None else (other, False)
 
     def alive(self, timer: Timer) -> bool:
@@ -263,10 +263,10 @@
         return call is not None and (call == -1 or call in module.calls)
 
     def _pass_to(self, moment: int) -> None:
-        self.now = moment
+        self.now_us = moment
         if self.story is not None:
             self.story.append((moment, None))
-        self.ledger.passes(moment)
+        self.history.time_passed(moment)
         for link, (_, due) in list(self.connecting.items()):
             if due <= moment:
                 del self.connecting[link]
@@ -276,7 +276,7 @@
         """The next moment comes, and the timer that is due runs."""
         due = self._next_due()
         assert due is not None
-        if due[0] > self.now:
+        if due[0] > self.now_us:
             self._spend()
             self._pass_to(due[0])
         self.due_now = False
@@ -294,17 +294,17 @@
         due = self._next_due()
         assert due is not None
         self._spend()
-        self._pass_to((self.now + due[0]) // 2)
+        self._pass_to((self.now_us + due[0]) // 2)
 
     def _spend(self) -> None:
-        if not any(call.owed for call in self.ledger.calls.values()):
+        if not any(call.awaits_answer for call in self.history.calls.values()):
             self.idle -= 1
 
     # --- what may happen next ---
 
     def choices(self) -> list[Choice]:
         """Every choice there is, in a fixed order; none if nothing more can happen in this scope."""
-        if self.ledger.exited:
+        if self.history.exited:
             return []
         found: list[Choice] = []
         left = {k for k, n in self.left.items() if n > 0}
@@ -322,11 +322,11 @@
                 found += [(kind, call) for kind in ("end", "cut") if kind in left]
         self._world_may(found, left)
         due = None if self.done else self._next_due()
-        if due is not None and (self.idle > 0 or any(c.owed for c in self.ledger.calls.values())):
+        if due is not None and (self.idle > 0 or any(c.awaits_answer for c in self.history.calls.values())):
             found.append(("tick",))
-            if due[0] > self.now and due[1] and self.rare > 1 and not self.due_now:
+            if due[0] > self.now_us and due[1] and self.rare > 1 and not self.due_now:
                 found.append(("due",))
-            if "between" in left and due[0] - self.now > 1000:
+            if "between" in left and due[0] - self.now_us > 1000:
                 found.append(("between",))
         return found
 
@@ -334,14 +334,14 @@
         open_ = [k for k in callers if not self.peers[k].half_closed]
         if self.calls_made < self.scope.calls:
             found += [("set_up", k) for k in open_]
-        for ident, call in self.ledger.calls.items():
-            if call.owed and call.stream in open_ and "give_up" in left:
+        for ident, call in self.history.calls.items():
+            if call.awaits_answer and call.stream in open_ and "give_up" in left:
                 found.append(("give_up", ident))
-            if call.stood and not (call.end_told or call.ended_by_caller_us) and "release" in left:
+            if call.was_answered and not (call.end_sent or call.ended_by_caller_us) and "release" in left:
                 found += [("release", ident, k) for k in open_]
-            if call.answers and not call.stood and "redial" in left:
+            if call.final_answers_sent and not call.was_answered and "redial" in left:
                 found += [("redial", ident, k) for k in open_]
-            if call.gone or (call.ended_us and self.now - call.ended_us > REMEMBERED_US):
+            if call.abandoned or (call.ended_for_caller_us and self.now_us - call.ended_for_caller_us > REMEMBERED_US):
                 continue
             if "same_id" in left and call.stream in open_:
                 found.append(("same_id", ident, call.stream))
@@ -396,13 +396,13 @@
 
     def _world_may(self, found: list[Choice], left: set[str]) -> None:
         for ident, far in self.fars.items():
-            known = self.ledger.exchanges.get(ident)
+            known = self.history.exchanges.get(ident)
             told = known is not None and not known.gone
             kinds = ("ready",) if ident in self.drained else ("drain",)
             found += [(kind, ident) for kind in (*kinds, "gone", "replaced") if told and kind in left]
             if "die" in left and far.alive:
                 found.append(("die", ident))
-            if "return" in left and not far.alive and self.now > far.died_us:
+            if "return" in left and not far.alive and self.now_us > far.died_us:
                 found.append(("return", ident))
         if self.budgeted:
             for link, (at, _) in self.connecting.items():
@@ -415,18 +415,18 @@
             found.append(("list_twice",))
         if "channel_lost" in left:
             found.append(("channel_lost",))
-        ended = bool(self.ledger.term_us)
-        if "lameduck" in left and not self.ledger.draining:
+        ended = bool(self.history.sigterm_us)
+        if "lameduck" in left and not self.history.draining:
             found.append(("lameduck",))
-        if "rejoin" in left and self.ledger.draining:
+        if "rejoin" in left and self.history.draining:
             found.append(("rejoin",))
         if "sighup" in left:
             found += [("sighup", name) for name in VARIANTS]
         if "sigterm" in left and not ended:
             found.append(("sigterm",))
-        if "succeed" in left and not self.ledger.succeeded:
+        if "succeed" in left and not self.history.successor_serves:
             found.append(("succeed",))
-        if "unsucceed" in left and self.ledger.succeeded:
+        if "unsucceed" in left and self.history.successor_serves:
             found.append(("unsucceed",))
         if "inherit" in left:
             found += [("inherit", ident) for ident in self.fars]
@@ -454,16 +454,16 @@
 
     def _do_redial(self, ident: int, stream: int) -> None:
         call, self.next_call = self.next_call, self.next_call + 1
-        self._feed(s.MessageReceived(stream, self._set_up(call, int(self.ledger.calls[ident].set_up.called, 16))))
+        self._feed(s.MessageReceived(stream, self._set_up(call, int(self.history.calls[ident].set_up.called, 16))))
 
     def _do_give_up(self, ident: int) -> None:
-        self._feed(s.MessageReceived(self.ledger.calls[ident].stream, p.Release(ident, p.ReleaseCause.NORMAL)))
+        self._feed(s.MessageReceived(self.history.calls[ident].stream, p.Release(ident, p.ReleaseCause.NORMAL)))
 
     def _do_release(self, ident: int, stream: int) -> None:
         self._feed(s.MessageReceived(stream, p.Release(ident, p.ReleaseCause.NORMAL)))
 
     def _do_same_id(self, ident: int, stream: int) -> None:
-        self._feed(s.MessageReceived(stream, self.ledger.calls[ident].set_up))
+        self._feed(s.MessageReceived(stream, self.history.calls[ident].set_up))
 
     _do_other_id = _do_same_id
 
@@ -489,7 +489,9 @@
 
     # --- exchanges ---
 
-    def _listed(self, far: Far, state: i.ListState = i.ListState.READY, started: int = 0) -> p.ExchangeRecord:
+    def _listed(
+        self, far: SimulatedExchange, state: i.ListState = i.ListState.READY, started: int = 0
+    ) -> p.ExchangeRecord:
         return p.ExchangeRecord(i.ListEntry(far.ident, far.number, state, started), ("127.0.0.1", far.port))
 
     def _answer(self, link: int, ident: int) -> p.Answer:
@@ -548,7 +550,7 @@
 
     def _do_die(self, ident: int) -> None:
         self.fars[ident].alive = False
-        self.fars[ident].died_us = self.now
+        self.fars[ident].died_us = self.now_us
         self.standing = {call: far for call, far in self.standing.items() if far != ident}
         for link in [k for k, peer in self.peers.items() if peer.far == ident]:
             if link in self.peers:
@@ -556,7 +558,7 @@
 
     def _do_return(self, ident: int) -> None:
         self.fars[ident].alive = True
-        self.anew[ident] = self.now
+        self.anew[ident] = self.now_us
 
     def _do_group(self, link: int, free: int) -> None:
         self._feed(s.MessageReceived(link, p.GroupState(0, {"spare": free, "total": 40, "allowed": 100.0})))
@@ -586,7 +588,7 @@
 
     def _do_stall(self, stream: int) -> None:
         self.peers[stream].stalled = True
-        self.ledger.stalled.add(stream)
+        self.history.stalled_streams.add(stream)
 
     _do_stall_caller = _do_stall
 
@@ -594,13 +596,13 @@
         peer = self.peers[stream]
         assert peer.held is not None
         peer.seen = True
-        self.ledger.arrived(stream)
+        self.history.write_arrived(stream)
         self._reach(stream, peer, peer.held)
 
     def _do_through(self, stream: int) -> None:
         peer = self.peers[stream]
         peer.stalled = False
-        self.ledger.stalled.discard(stream)
+        self.history.stalled_streams.discard(stream)
         held, peer.held = peer.held, None
         if held is not None:
             if not peer.seen:
@@ -630,7 +632,7 @@
         """A new exchange at the address of one that has died unseen by the list."""
         old = self.fars.pop(ident)
         self.standing = {call: far for call, far in self.standing.items() if far != ident}
-        new = self.fars[self.next_far] = Far(self.next_far, old.number, old.port)
+        new = self.fars[self.next_far] = SimulatedExchange(self.next_far, old.number, old.port)
         self.next_far += 1
         for link in [k for k, peer in self.peers.items() if peer.far == ident]:
             if link in self.peers:
@@ -638,7 +640,7 @@
         for link, (far, due) in self.connecting.items():
             if far == ident:
                 self.connecting[link] = (new.ident, due)
-        self._tell(self._listed(new, started=self.now))
+        self._tell(self._listed(new, started=self.now_us))
 
     def _do_list_twice(self) -> None:
         assert self.last is not None
@@ -650,11 +652,11 @@
     # --- operators ---
 
     def _do_lameduck(self) -> None:
-        self.ledger.draining = True
+        self.history.draining = True
         self._feed(s.AdminRequest(1, o.Command.LAMEDUCK))
 
     def _do_rejoin(self) -> None:
-        self.ledger.draining = False
+        self.history.draining = False
         self._feed(s.AdminRequest(1, o.Command.REJOIN))
 
     def _do_sighup(self, name: str) -> None:
@@ -684,8 +686,8 @@
     @property
     def over(self) -> bool:
         """Whether every call that was made is over at its caller and at its exchange."""
-        calls = self.ledger.calls.values()
-        return not self.standing and not any(c.owed or (c.stood and not c.over) for c in calls)
+        calls = self.history.calls.values()
+        return not self.standing and not any(c.awaits_answer or (c.was_answered and not c.has_ended) for c in calls)
 
     @property
     def done(self) -> bool:
@@ -699,7 +701,7 @@
         """Let everything come to its end: standing calls end, writes are through, time passes. Broken if then
         anything is left."""
         if self.over and (late := hanging(self.session)):
-            raise Broken(NOTHING_LEFT.name, NOTHING_LEFT.left(late) or "")
+            raise PropertyViolation(NOTHING_LEFT.name, NOTHING_LEFT.describe(late) or "")
         for stream in [k for k, peer in self.peers.items() if peer.stalled]:
             if stream in self.peers:
                 self._do_through(stream)
@@ -707,26 +709,26 @@
             if any(peer.far == self.standing[call] for peer in self.peers.values()):
                 self._do_end(call)
         for ident, at in self.anew.items():
-            if not self.ledger.exchanges[ident].gone and ident not in self.drained:
+            if not self.history.exchanges[ident].gone and ident not in self.drained:
                 self._tell(self._listed(self.fars[ident], started=at))
         for _ in range(60):
-            if self.ledger.exited or (due := self._next_due()) is None:
+            if self.history.exited or (due := self._next_due()) is None:
                 break
             for link in list(self.connecting):
                 if self.connecting.get(link, (0, 0))[0] in self.fars:
                     self._answer_connect(link)
-            if due[0] > self.now:
+            if due[0] > self.now_us:
                 self._pass_to(due[0])
             self._feed(s.Tick())
-            if self.over and self.now > START + 3_000_000:
+            if self.over and self.now_us > START + 3_000_000:
                 break
         for _ in range(END_STEPS):
-            if self.ledger.exited:
+            if self.history.exited:
                 break
             for link in list(self.connecting):
                 if self.connecting.get(link, (0, 0))[0] in self.fars:
                     self._answer_connect(link)
-            self._pass_to(self.now + 1_500_000)
+            self._pass_to(self.now_us + 1_500_000)
             self._feed(s.Tick())
-        if (wrong := NOTHING_LEFT.left(remains(self.session, self.ledger.exited))) is not None:
-            raise Broken(NOTHING_LEFT.name, wrong)
+        if (wrong := NOTHING_LEFT.describe(remains(self.session, self.history.exited))) is not None:
+            raise PropertyViolation(NOTHING_LEFT.name, wrong)
--- /dev/null
+++ b/latchturn/checking/history.py
@@ -0,0 +1,385 @@
+"""What can be known of every call from inputs and effects alone: the history that the properties judge.
+
+Owns the facts and the order in which they come to be. It must never look into the reducer, and it judges nothing.
+Moments are microseconds on the world's clock.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from enum import IntEnum
+
+from .. import interface as i
+from .. import protocol as p
+from .. import session as s
+from ..session.exchanges import CAUSES_OF_END
+
+GIVE_UP_SLACK_US = 60_000  # a give-up that has not left by then takes its link along
+
+
+class ObservationKind(IntEnum):
+    """What has just come to be known, for the properties to judge."""
+
+    CALL_TAKEN = 0  # a call is taken
+    MESSAGE_TO_CALLER = 1  # a message for a call is handed over for writing to a caller
+    SET_UP_SENT = 2  # a set-up is handed over for writing to an exchange
+    SET_UP_ARRIVED = 3  # a set-up has reached an exchange whole
+    ATTEMPT_ENDED = 4  # an attempt that was handed over is no more
+    LINK_OPENED = 5
+    CALLER_CLOSED = 6  # a caller's connection is closed from our side
+    INTERNAL_FAULT = 7  # the reducer has met a fault of its own
+    PROGRAM_EXITED = 8
+    STEP_DONE = 9  # a step and all that it brought up is through
+    TIME_PASSED = 10  # time has passed
+
+
+@dataclass(slots=True)
+class ObservedAttempt:
+    """One attempt, on one link."""
+
+    link: int
+    exchange: int
+    sent_us: int
+    must_end_by_us: int  # by when it must be over
+    arrived: bool = False
+    giving_up: bool = False  # its give-up is handed over; what the exchange still says counts for nothing
+
+
+@dataclass(slots=True)
+class ObservedCall:
+    """One call as seen from outside."""
+
+    set_up: p.SetUp
+    stream: int
+    taken_us: int
+    answer_due_us: int  # the caller waits so long
+    destination: int
+    final_answers_sent: int = 0  # final answers handed over
+    was_answered: bool = False
+    abandoned: bool = False  # given up by its caller
+    answer_may_cross: bool = False  # given up while what it is told may be on its way
+    set_ups_sent: int = 0  # set-ups handed over
+    outstanding: list[ObservedAttempt] = field(default_factory=list)  # handed over and not over yet
+    pause_since_us: int = 0  # when an attempt timed out, was reset or cancelled last
+    exchange_answer: bytes | None = None  # description of the answer that an exchange gave to an attempt that was out
+    standing_exchange: int = 0
+    end_reported_us: int = 0  # when the end of the standing call was told to the reducer by an exchange or the list
+    ended_by_caller_us: int = 0
+    end_sent: bool = False
+    end_forwarded: bool = False  # to its exchange
+    ended_for_caller_us: int = 0  # when it was over for its caller
+
+    @property
+    def awaits_answer(self) -> bool:
+        """Whether its caller waits for its final answer."""
+        return not self.final_answers_sent and not self.abandoned
+
+    @property
+    def has_ended(self) -> bool:
+        """Whether it stood and has ended, as far as the reducer has been told."""
+        return bool(self.end_reported_us or self.ended_by_caller_us or self.end_sent)
+
+
+@dataclass(slots=True)
+class ListedExchange:
+    """One exchange as the list has told it."""
+
+    number: int
+    address: tuple[str, int]
+    not_ready_since_us: int = 0  # since when it is told draining or gone, 0 if it is ready
+    gone: bool = False
+
+
+@dataclass(slots=True)
+class Observation:
+    """A fact with what it is about; what does not apply is None."""
+
+    kind: ObservationKind
+    call: ObservedCall | None = None
+    attempt: ObservedAttempt | None = None
+    message: object = None
+    stream: int = 0
+
+
+class History:
+    """The history, kept as inputs and effects come."""
+
+    def __init__(self, settings: i.Settings, notify: Callable[[Observation], None]) -> None:
+        self.notify = notify  # hears each fact as it comes to be
+        self.now_us = 0
+        self.max_attempts = settings.max_attempts
+        self.release_us = settings.release_us
+        self.drain_grace_us = settings.drain_grace_us
+        self.calls: dict[int, ObservedCall] = {}
+        self.exchanges: dict[int, ListedExchange] = {}
+        self.links: dict[int, int] = {}  # stream -> exchange
+        self.links_up: set[int] = set()
+        self.open_callers: set[int] = set()  # open
+        self.callers_open_since_us = 0  # since when any has been
+        self.misbehaving_callers: set[int] = (
+            set()
+        )  # callers that broke the protocol: what they are owed may end with them
+        self.stalled_streams: set[int] = set()
+        self.being_written: dict[int, tuple[p.Message, ...]] = {}
+        self.cursor = 0
+        self.sigterm_us = 0
+        self.draining = False
+        self.exited = False
+        self.successor_serves = False
+        self.handed_over_calls: tuple[int, ...] = ()
+
+    def step_done(self) -> None:
+        """One choice of the world and all that it brought up is through."""
+        self.notify(Observation(ObservationKind.STEP_DONE))
+
+    def time_passed(self, now_us: int) -> None:
+        """Time has gone on."""
+        self.now_us = now_us
+        self.notify(Observation(ObservationKind.TIME_PASSED))
+
+    def next_due_us(self) -> int | None:
+        """The next moment at which something must have happened."""
+        times_us = [c.answer_due_us + 1 for c in self.calls.values() if c.awaits_answer]
+        times_us += [t.must_end_by_us + 1 for c in self.calls.values() for t in c.outstanding]
+        later = [m for m in times_us if m > self.now_us]
+        return min(later) if later else None
+
+    # --- inputs ---
+
+    def record_input(self, input_: s.Input) -> None:
+        """An input is about to be taken in."""
+        match input_:
+            case s.MessageReceived(stream, message):
+                if stream in self.links:
+                    self._from_exchange(stream, message)
+                elif stream in self.open_callers:
+                    self._from_caller(stream, message)
+            case s.WriteCompleted(stream):
+                self.write_arrived(stream)
+                self.being_written.pop(stream, None)
+            case s.Accepted(stream):
+                self.callers_open_since_us = self.callers_open_since_us if self.open_callers else self.now_us
+                self.open_callers.add(stream)
+            case s.Connected(stream):
+                self.links_up.add(stream)
+            case s.ConnectionClosed(stream) | s.ConnectFailed(stream):
+                self._connection_lost(stream)
+            case s.EndOfInput(stream) | s.MalformedInput(stream):
+                if stream in self.links:
+                    self._connection_lost(stream)
+                elif isinstance(input_, s.MalformedInput):
+                    self.misbehaving_callers.add(stream)
+            case s.Started(known, cursor):
+                for update in known:
+                    self._apply_list_update(update)
+                self.cursor = max(self.cursor, cursor)
+            case s.Reconfigured(known, _, _, settings):
+                for update in known:
+                    self._apply_list_update(update)
+                self.release_us, self.drain_grace_us = settings.release_us, settings.drain_grace_us
+            case s.ListUpdateReceived(update):
+                self._apply_list_update(update)
+            case s.CallInherited(call_id, exchange):
+                if exchange in self.exchanges and not self.exchanges[exchange].gone and call_id not in self.calls:
+                    observed = ObservedCall(
+                        p.SetUp(call_id, "", 0, "", b""),
+                        0,
+                        self.now_us,
+                        self.now_us,
+                        0,
+                        final_answers_sent=1,
+                        was_answered=True,
+                    )
+                    observed.standing_exchange = exchange
+                    self.calls[call_id] = observed
+            case s.ReleaseForwarded(call_id):
+                if call_id in self.calls and not self.calls[call_id].has_ended:
+                    self.calls[call_id].ended_by_caller_us = self.now_us
+            case s.Terminate():
+                self.sigterm_us = self.sigterm_us or self.now_us
+            case s.SuccessorChanged(serves):
+                self.successor_serves = serves or (self.successor_serves and bool(self.sigterm_us))
+            case _:
+                pass
+
+    def _from_caller(self, stream: int, message: p.Message) -> None:
+        known = self.calls.get(message.call)
+        if isinstance(message, p.SetUp):
+            repeated = known is not None and (
+                not known.abandoned or bool(known.final_answers_sent) or known.answer_may_cross
+            )
+            if repeated:
+                if known is not None and known.stream != stream:
+                    self.misbehaving_callers.add(stream)
+                return
+            observed = ObservedCall(
+                message, stream, self.now_us, self.now_us + message.wait_ms * 1000, message.figures.get("dest", -1)
+            )
+            self.calls[message.call] = observed
+            self.notify(Observation(ObservationKind.CALL_TAKEN, observed))
+        elif isinstance(message, p.Release) and known is not None:
+            if known.awaits_answer:
+                known.abandoned, known.answer_may_cross = True, stream in self.stalled_streams
+            elif known.was_answered and not known.end_reported_us and not known.ended_by_caller_us:
+                known.ended_by_caller_us = known.ended_for_caller_us = self.now_us
+
+    def _from_exchange(self, link: int, message: p.Message) -> None:
+        observed = self.calls.get(message.call)
+        if observed is None:
+            return
+        attempt = next((t for t in observed.outstanding if t.link == link), None)
+        if attempt is not None and attempt.giving_up and isinstance(message, p.Answer | p.Release):
+            attempt.arrived = False  # out no more; it is over for us once its give-up is through
+        elif attempt is not None and isinstance(message, p.Answer):
+            if attempt.arrived:
+                observed.exchange_answer, observed.standing_exchange = message.description, attempt.exchange
+            self._attempt_ended(observed, attempt, starts_pause=False)
+        elif attempt is not None and isinstance(message, p.Release):
+            starts_pause = message.cause in (p.ReleaseCause.TEMPORARY_FAILURE, p.ReleaseCause.NORMAL)
+            self._attempt_ended(observed, attempt, starts_pause)
+        else:
+            ends = isinstance(message, p.Release) and message.cause in CAUSES_OF_END
+            if ends and observed.was_answered and observed.standing_exchange == self.links.get(link):
+                self._standing_call_ended(observed)
+
+    def _standing_call_ended(self, observed: ObservedCall) -> None:
+        if not observed.end_reported_us and not observed.ended_by_caller_us:
+            observed.end_reported_us = self.now_us
+
+    def _attempt_ended(self, observed: ObservedCall, attempt: ObservedAttempt, starts_pause: bool) -> None:
+        observed.outstanding.remove(attempt)
+        if starts_pause:
+            observed.pause_since_us = self.now_us
+        self.notify(Observation(ObservationKind.ATTEMPT_ENDED, observed, attempt))
+
+    def _connection_lost(self, stream: int) -> None:
+        """A connection is no more: the set-ups on it are given up, a caller's calls too."""
+        self.links_up.discard(stream)
+        if stream in self.open_callers:
+            for message in self.being_written.get(stream, ()):
+                observed = self.calls.get(message.call)
+                if observed is not None and observed.was_answered and isinstance(message, p.Release):
+                    observed.end_sent = False  # it has perhaps not come through
+        self.being_written.pop(stream, None)
+        was_stalled = stream in self.stalled_streams
+        self.stalled_streams.discard(stream)
+        if stream in self.links:
+            for observed in self.calls.values():
+                for attempt in [t for t in observed.outstanding if t.link == stream]:
+                    self._attempt_ended(observed, attempt, starts_pause=True)
+            del self.links[stream]
+        elif stream in self.open_callers:
+            self.open_callers.discard(stream)
+            for observed in self.calls.values():
+                if observed.stream == stream and observed.awaits_answer:
+                    observed.abandoned, observed.answer_may_cross = True, was_stalled
+
+    def _apply_list_update(self, update: p.ListUpdate) -> None:
+        if update.kind is None or update.number <= self.cursor:
+            return
+        self.cursor = update.number
+        for record in update.records:
+            entry = record.entry
+            for ident, other in self.exchanges.items():
+                is_new = entry.exchange not in self.exchanges
+                if is_new and other.address == record.address and entry.state is not i.ListState.GONE:
+                    self._exchange_gone(ident)
+            known = self.exchanges.setdefault(entry.exchange, ListedExchange(entry.number, record.address))
+            known.address = record.address
+            if entry.state is i.ListState.READY:
+                known.not_ready_since_us, known.gone = 0, False
+            else:
+                known.not_ready_since_us = known.not_ready_since_us or self.now_us
+                if entry.state is i.ListState.GONE:
+                    self._exchange_gone(entry.exchange)
+        if update.kind is i.ListKind.FULL:
+            listed_ids = {record.entry.exchange for record in update.records}
+            for ident in self.exchanges:
+                if ident not in listed_ids:
+                    self._exchange_gone(ident)
+
+    def _exchange_gone(self, exchange: int) -> None:
+        known = self.exchanges[exchange]
+        known.not_ready_since_us, known.gone = known.not_ready_since_us or self.now_us, True
+        for observed in self.calls.values():
+            if observed.was_answered and observed.standing_exchange == exchange:
+                self._standing_call_ended(observed)
+
+    # --- effects ---
+
+    def record_effect(self, effect: s.Effect) -> None:
+        """An effect has been asked for."""
+        match effect:
+            case s.Write(stream, messages):
+                self.being_written[stream] = messages
+                for message in messages:
+                    if stream in self.links:
+                        self._to_exchange(stream, message)
+                    elif stream in self.open_callers:
+                        self._to_caller(stream, message)
+            case s.Connect(stream, address):
+                at = [k for k, e in self.exchanges.items() if e.address == address and not e.gone]
+                self.links[stream] = at[-1] if at else 0
+                self.notify(Observation(ObservationKind.LINK_OPENED, stream=stream))
+            case s.Close(stream) | s.CloseIdle(stream):
+                if stream in self.links:
+                    self._connection_lost(stream)
+                elif stream in self.open_callers and isinstance(effect, s.Close):
+                    self.notify(Observation(ObservationKind.CALLER_CLOSED, stream=stream))
+            case s.Log(text):
+                if text.startswith("fault"):
+                    self.notify(Observation(ObservationKind.INTERNAL_FAULT, message=text))
+            case s.HandOverCalls(calls):
+                self.handed_over_calls = tuple(call_id for call_id, _ in calls)
+            case s.Exit():
+                self.exited = True
+                self.notify(Observation(ObservationKind.PROGRAM_EXITED))
+            case _:
+                pass
+
+    def _to_exchange(self, link: int, message: p.Message) -> None:
+        observed = self.calls.get(message.call)
+        if isinstance(message, p.SetUp):
+            until = self.now_us + message.wait_ms * 1000 + GIVE_UP_SLACK_US
+            attempt = ObservedAttempt(link, self.links[link], self.now_us, until)
+            if observed is not None:
+                observed.set_ups_sent += 1
+                observed.outstanding.append(attempt)
+            self.notify(Observation(ObservationKind.SET_UP_SENT, observed, attempt, message, link))
+        elif isinstance(message, p.Release) and observed is not None:
+            observed.end_forwarded = observed.end_forwarded or observed.standing_exchange == self.links[link]
+            for attempt in observed.outstanding:
+                attempt.giving_up = attempt.giving_up or attempt.link == link
+
+    def _to_caller(self, stream: int, message: p.Message) -> None:
+        if not isinstance(message, p.Answer | p.Release):
+            return
+        observed = self.calls.get(message.call)
+        self.notify(Observation(ObservationKind.MESSAGE_TO_CALLER, observed, None, message, stream))
+        if observed is None:
+            return
+        if isinstance(message, p.Release) and observed.was_answered:
+            observed.end_sent = True
+        else:
+            observed.final_answers_sent += 1
+            observed.was_answered = isinstance(message, p.Answer)
+        if isinstance(message, p.Release):
+            observed.ended_for_caller_us = self.now_us
+
+    def write_arrived(self, stream: int) -> None:
+        """What is being written on a stream has reached its peer whole."""
+        if stream not in self.links:
+            return
+        for message in self.being_written.pop(stream, ()):
+            observed = self.calls.get(message.call)
+            if observed is None:
+                continue
+            attempt = next((t for t in observed.outstanding if t.link == stream), None)
+            if attempt is None:
+                continue
+            if isinstance(message, p.SetUp):
+                attempt.arrived = True
+                self.notify(Observation(ObservationKind.SET_UP_ARRIVED, observed, attempt, message, stream))
+            elif isinstance(message, p.Release):
+                self._attempt_ended(observed, attempt, starts_pause=True)
--- a/latchturn/session/reducer.py
+++ b/latchturn/session/reducer.py
@@ -98,8 +98,8 @@
             self._met_fault(happened.message.call if isinstance(happened, MessageReceived) else 0)
         self._run_timers()
         self._settle()
-        if self.phases.replaces or self.phases.term_us:
-            self.phases.go_on()
+        if self.phases.replaces_predecessor or self.phases.sigterm_us:
+            self.phases.advance()
         return self.core.effects
 
     def wake_us(self) -> int | None:
@@ -109,7 +109,7 @@
     def _met_fault(self, call: int) -> None:
         """Guards against faults of our own: one event's fault must not end the others' calls."""
         self._fault(call)
-        if call in self.calls.by_id and self.calls.by_id[call].stands_at is None:
+        if call in self.calls.by_id and self.calls.by_id[call].standing_exchange is None:
             try:
                 self.calls.fail(self.calls.by_id[call], "a fault of the program")
             except Exception:  # noqa: BLE001
@@ -123,7 +123,7 @@
         match happened:
             case MessageReceived(stream, message, waited_us):
                 if stream in self.links.by_stream:
-                    self.exchanges.heard(self.links.by_stream[stream], message)
+                    self.exchanges.message_received(self.links.by_stream[stream], message)
                 elif stream in self.callers.by_stream:
                     self.callers.heard(self.callers.by_stream[stream], message, waited_us)
             case WriteCompleted(stream):
@@ -141,7 +141,7 @@
                     self.writing.peer_done(stream, CloseReason.GARBLED)
             case PartialMessage(stream, half):
                 if stream in self.links.by_stream:
-                    self.links.half_read(self.links.by_stream[stream], half)
+                    self.links.partial_message_changed(self.links.by_stream[stream], half)
                 elif stream in self.callers.by_stream:
                     self.callers.half_read(self.callers.by_stream[stream], half)
             case EndOfInput(stream):
@@ -153,16 +153,16 @@
             case ConnectFailed(stream, refused):
                 self.links.connect_failed(stream, refused)
             case ListUpdateReceived(update):
-                self.channel.heard(update.number)
-                self.exchanges.list_told(update)
+                self.channel.frame_received(update.number)
+                self.exchanges.apply_list_update(update)
             case ChannelLost(reason):
-                self.channel.ended(reason)
+                self.channel.connection_lost(reason)
             case AdminRequest(connection, command):
-                self.core.effects.append(Reply(connection, self.phases.operate(command)))
+                self.core.effects.append(Reply(connection, self.phases.handle_command(command)))
             case ListenerReady():
-                self.phases.listens()
+                self.phases.listener_ready()
             case OtherProcessUsage(descriptors, calls):
-                self.phases.other_holds, self.phases.other_calls = descriptors, calls
+                self.phases.other_descriptors, self.phases.other_calls = descriptors, calls
                 self.callers.make_room()
             case CallInherited(call, exchange):
                 self.calls.inherit(call, exchange)
@@ -170,14 +170,14 @@
                 if call in self.calls.by_id:
                     self.calls.told_over(self.calls.by_id[call], cause)
             case SuccessorChanged(serves):
-                self.phases.hand_over(serves)
+                self.phases.successor_changed(serves)
             case ConfigRejected(reason):
                 self.core.counters["sighup_rejected"] += 1
                 self.core.log(f"new configuration cannot be used, the old one stays: {reason}")
             case Started(known, cursor, channel, replaces):
-                self.phases.replaces = replaces
-                self.phases.started(known, cursor)
-                self.channel.follow(channel)
+                self.phases.replaces_predecessor = replaces
+                self.phases.start(known, cursor)
+                self.channel.connect(channel)
             case Reconfigured(known, channel, sockets, settings):
                 self._reconfigure(known, channel, sockets, settings)
             case Terminate():
@@ -192,7 +192,7 @@
     ) -> None:
         # The events of the file that are not known yet count; its whole list of the start is old.
         for event in known:
-            self.exchanges.list_told(event)
+            self.exchanges.apply_list_update(event)
         self.core.sockets = sockets
         if settings != self.classes.read:
             self.classes.use(settings, self.classes.settings)
@@ -200,7 +200,7 @@
             self.core.log("new settings: classes " + ", ".join(c.name for c in settings.classes))
         self.core.counters["sighup_applied"] += 1
         self.core.log(f"new configuration: command channel {channel[0]}:{channel[1]}, {sockets} sockets")
-        self.channel.move(channel)
+        self.channel.change_address(channel)
 
     def _settle(self) -> None:
         """Let the module answer all that came up, then write."""
@@ -231,7 +231,7 @@
         if kind is TimerKind.MODULE and isinstance(what, int):
             self.core.events.append(i.TimerDue(what))
         elif kind is TimerKind.DEADLINE and isinstance(what, Call):
-            if self.calls.by_id.get(what.ident) is what and what.stands_at is None:
+            if self.calls.by_id.get(what.ident) is what and what.standing_exchange is None:
                 self.core.counters["overdue"] += 1
                 self.calls.fail(what, "its deadline has come")
         elif kind is TimerKind.ATTEMPT and isinstance(what, Attempt):
@@ -241,18 +241,18 @@
             if what.call.attempt is what:
                 self.writing.drop(what.link, CloseReason.GIVE_UP_STUCK)
         elif kind is TimerKind.HALF_READ and isinstance(what, Link):
-            if self.links.by_stream.get(what.ident) is what and what.half_us:
-                self.links.half_read_long(what)
+            if self.links.by_stream.get(what.ident) is what and what.partial_since_us:
+                self.links.partial_message_timeout(what)
         elif kind is TimerKind.RECONNECT and isinstance(what, Exchange):
-            self.links.keep(what)
-        elif kind is TimerKind.CHANNEL and what == self.channel.times_asked:
-            self.channel.follow(self.channel.address)
+            self.links.ensure_kept_links(what)
+        elif kind is TimerKind.CHANNEL and what == self.channel.connect_count:
+            self.channel.connect(self.channel.address)
         elif kind is TimerKind.TERM:
-            self.phases.term_due()
+            self.phases.sigterm_timer_due()
         elif kind is TimerKind.CLOSE:
-            self.phases.close_idle()
-        elif kind is TimerKind.DRAIN and what == self.phases.drains:
-            self.phases.send_away()
+            self.phases.close_idle_for_exit()
+        elif kind is TimerKind.DRAIN and what == self.phases.drain_count:
+            self.phases.close_drained()
         elif kind is TimerKind.SWEEP:
             self.housekeeping.sweep()
 
--- a/latchturn/session/writing.py
+++ b/latchturn/session/writing.py
@@ -7,8 +7,8 @@
 from .component import Component
 from .inputs_and_effects import Close, Write
 from .limits import CALLER_RELEASE_TTL_US, MAX_OUTBOX_MESSAGES, MAX_WRITE_MESSAGES, RECENT_WRITE_US
-from .machines import ATTEMPT, AttemptMove, StreamMove
-from .state import Attempt, Caller, GiveUpDue, Link, Outgoing, Stream
+from .machines import ATTEMPT, AttemptTransition, StreamTransition
+from .state import Attempt, Caller, Link, Outgoing, PendingGiveUp, Stream
 from .trace import CloseReason, TraceEvent
 
 
@@ -26,9 +26,9 @@
         releases = {m.call: m for m in (*lately, *waiting)}
         if isinstance(stream, Link):
             for ident in releases.keys() & self.calls.by_id.keys():
-                self.calls.by_id[ident].unsure.add(stream.exchange_id)
-            return [m for ident, m in releases.items() if ident in self.calls.over]
-        return [m for ident, m in releases.items() if ident in self.calls.over and self.calls.over[ident].stood]
+                self.calls.by_id[ident].maybe_standing_at.add(stream.exchange_id)
+            return [m for ident, m in releases.items() if ident in self.calls.ended]
+        return [m for ident, m in releases.items() if ident in self.calls.ended and self.calls.ended[ident].stood]
 
     def _unproved_since(self, stream: Caller | Link) -> int:
         """What was written later may not have arrived: lately, on a link since it last told anything, and to a caller
@@ -48,11 +48,11 @@
     def peer_done(self, stream: int, reason: CloseReason = CloseReason.PEER_ENDED) -> None:
         """Nothing more comes in on a stream. A caller still gets the answers that it is owed."""
         if stream in self.links.by_stream:
-            self.liveness.broken(self.links.by_stream[stream])
+            self.liveness.link_ended_by_peer(self.links.by_stream[stream])
             self.drop(self.links.by_stream[stream], reason)
         elif stream in self.callers.by_stream:
             caller = self.callers.by_stream[stream]
-            caller.move(StreamMove.FINISH)
+            caller.change_state(StreamTransition.FINISH)
             self.callers.close_if_finished(caller)
 
     def peer_reset(self, stream: int) -> None:
@@ -60,12 +60,12 @@
         if stream in self.links.by_stream:
             link = self.links.by_stream[stream]
             self.note_closed(link, CloseReason.PEER_RESET)
-            self.liveness.broken(link)
-            self.liveness.reset(link)
-            self.links.lose(link, CloseReason.PEER_RESET)
+            self.liveness.link_ended_by_peer(link)
+            self.liveness.link_reset(link)
+            self.links.remove(link, CloseReason.PEER_RESET)
         elif stream in self.callers.by_stream:
             caller = self.callers.by_stream[stream]
-            self.note_closed(caller, caller.closing or CloseReason.PEER_RESET)
+            self.note_closed(caller, caller.close_reason or CloseReason.PEER_RESET)
             self.callers.lose(caller)
 
     def queue(self, stream: Stream, item: Outgoing) -> None:
@@ -84,7 +84,7 @@
             message: Message | None
             if isinstance(item, Attempt):
                 message = self.attempts.as_it_leaves(item)
-            elif isinstance(item, GiveUpDue):
+            elif isinstance(item, PendingGiveUp):
                 message = Release(item.attempt.call.ident, ReleaseCause.NORMAL)
             else:
                 message = item
@@ -94,11 +94,11 @@
             stream.in_flight.append(item)
         if messages:
             if isinstance(stream, Caller):
-                stream.write_passed_on = False
+                stream.ends_resent = False
                 stream.sent_anything = stream.sent_anything or not all(
                     isinstance(m, ReleaseConfirmed) for m in messages
                 )
-            stream.write_began_us = self.core.now
+            stream.write_started_us = self.core.now
             self.core.effects.append(Write(stream.ident, tuple(messages)))
 
     def wrote(self, ident: int) -> None:
@@ -107,13 +107,13 @@
             return
         items, stream.in_flight = stream.in_flight, []
         for item in items:
-            if isinstance(item, GiveUpDue):
+            if isinstance(item, PendingGiveUp):
                 call = item.attempt.call.ident
                 stream.unconfirmed[call] = (self.core.now, Release(call, ReleaseCause.NORMAL))
                 if item.attempt.call.attempt is item.attempt:
                     self.attempts.end(item.attempt, i.Outcome.TIMED_OUT)
             elif isinstance(item, Attempt):
-                item.state = ATTEMPT.go(item.state, AttemptMove.WRITTEN)
+                item.state = ATTEMPT.next_state(item.state, AttemptTransition.WRITTEN)
                 self.core.counters["forwards"] += 1
             elif isinstance(item, Release):
                 stream.unconfirmed[item.call] = (self.core.now, item)
@@ -126,7 +126,7 @@
         self.note_closed(stream, reason)
         self.core.effects.append(Close(stream.ident))
         if isinstance(stream, Link):
-            self.links.lose(stream, reason)
+            self.links.remove(stream, reason)
         elif isinstance(stream, Caller):
             self.callers.lose(stream)
 
--- a/tests/test_checking.py
+++ b/tests/test_checking.py
@@ -14,15 +14,15 @@
 from latchturn import protocol as p
 from latchturn import session as s
 from latchturn.checking import plants, traces
+from latchturn.checking.environment import Environment
 from latchturn.checking.explorer import explore
 from latchturn.checking.pairs import table, unmet
 from latchturn.checking.properties import PROPERTIES
 from latchturn.checking.scopes import EXHAUSTIVE, SCOPES
 from latchturn.checking.states import fingerprint, load, save
 from latchturn.checking.walks import breaks, shorten, walk
-from latchturn.checking.world import World
 from latchturn.cli.__main__ import main
-from latchturn.session.machines import CALL, MACHINES, CallMove, CallState, ImpossibleMove, Machine
+from latchturn.session.machines import CALL, MACHINES, CallState, CallTransition, InvalidTransition, Machine
 from tests.helpers import Desk, listed, set_up
 
 PATH = (("set_up", 1), ("refuse", -1, 1, "reset"))
@@ -32,19 +32,19 @@
     def test_each_table_names_every_pair_once(self) -> None:
         for machine in MACHINES:
             for state in machine.states:
-                for move in machine.inputs:
-                    if reason := machine.never.get((state, move)):
-                        with self.assertRaisesRegex(ImpossibleMove, "met"):
-                            machine.go(state, move)
+                for move in machine.transitions:
+                    if reason := machine.impossible.get((state, move)):
+                        with self.assertRaisesRegex(InvalidTransition, "met"):
+                            machine.next_state(state, move)
                         self.assertGreater(len(reason), 10)
                     else:
-                        self.assertIn(machine.go(state, move), list(machine.states))
+                        self.assertIn(machine.next_state(state, move), list(machine.states))
 
     def test_a_table_with_a_hole_or_a_pair_twice_is_turned_down(self) -> None:
-        whole = {(a, b): CallState.OVER for a in CallState for b in CallMove}
-        for moves, never in (({}, {}), (whole, {(CallState.OVER, CallMove.FORGET): "x"})):
+        whole = {(a, b): CallState.OVER for a in CallState for b in CallTransition}
+        for moves, never in (({}, {}), (whole, {(CallState.OVER, CallTransition.FORGET): "x"})):
             with self.assertRaises(ValueError):
-                Machine("broken", CallState, CallMove, moves, never)
+                Machine("broken", CallState, CallTransition, moves, never)
 
     def test_an_impossible_move_is_counted_logged_and_fails_its_call_alone(self) -> None:
         desk = Desk()
@@ -55,7 +55,7 @@
         self.assertEqual(desk.session.counters["errors"], 2)  # at the answer, and again as it is failed
         self.assertLessEqual(len([m for k, m in written if k == 1]), 1)
         self.assertEqual(desk.hear(desk.link[2], p.Answer(6, b"yes")), [(1, p.Answer(6, b"yes"))])
-        self.assertEqual(CALL.go(CallState.OWED, CallMove.ANSWER), CallState.STANDING)
+        self.assertEqual(CALL.next_state(CallState.OWED, CallTransition.ANSWER), CallState.STANDING)
 
 
 class Mended(unittest.TestCase):
@@ -86,23 +86,23 @@
 
 class States(unittest.TestCase):
     def test_a_snapshot_goes_on_as_its_world_did(self) -> None:
-        world = World(SCOPES["two"])
+        environment = Environment(SCOPES["two"])
         for choice in PATH:
-            world.do(choice)
-        again = load(save(world))
-        self.assertEqual(fingerprint(again), fingerprint(world))
-        for each in (world, again):
+            environment.do(choice)
+        again = load(save(environment))
+        self.assertEqual(fingerprint(again), fingerprint(environment))
+        for each in (environment, again):
             each.do(("tick",))
-        self.assertEqual(fingerprint(again), fingerprint(world))
-        self.assertEqual(again.choices(), world.choices())
+        self.assertEqual(fingerprint(again), fingerprint(environment))
+        self.assertEqual(again.choices(), environment.choices())
 
     def test_orders_that_come_to_the_same_have_one_fingerprint_and_others_have_not(self) -> None:
         marks = []
         for last in (("half", 1), ("half", 2)), (("half", 2), ("half", 1)), (("half", 1),):
-            world = World(SCOPES["wide"])
+            environment = Environment(SCOPES["wide"])
             for choice in (("set_up", 1), *last):
-                world.do(choice)
-            marks.append(fingerprint(world))
+                environment.do(choice)
+            marks.append(fingerprint(environment))
         self.assertEqual(marks[0], marks[1])
         self.assertNotEqual(marks[0], marks[2])
 
@@ -123,15 +123,15 @@
         self.assertFalse(explore("two", 1, 0.2).exhausted)
 
     def test_a_fault_is_found_on_a_shortest_path_that_holds_without_it(self) -> None:
-        for name, law, depth in (("pause-forgotten", "pause", 2), ("number-changed", "unchanged", 1)):
+        for name, violated, depth in (("pause-forgotten", "pause", 2), ("number-changed", "unchanged", 1)):
             found = explore("mini", 2, 30, name)
-            self.assertEqual((found.broken, len(found.choices)), (law, depth))
+            self.assertEqual((found.broken, len(found.choices)), (violated, depth))
             self.assertIsNone(traces.replay("mini", found.choices, end=False))
 
     def test_the_catalogue_has_faults_for_all_scopes_but_walks(self) -> None:
-        self.assertGreaterEqual(len(plants.PLANTS), 20)
-        self.assertLessEqual({k.scope for k in plants.PLANTS.values()}, set(EXHAUSTIVE))
-        self.assertEqual(len({law.name for law in PROPERTIES}), len(PROPERTIES))
+        self.assertGreaterEqual(len(plants.PLANTED_FAULTS), 20)
+        self.assertLessEqual({k.scope for k in plants.PLANTED_FAULTS.values()}, set(EXHAUSTIVE))
+        self.assertEqual(len({property_.name for property_ in PROPERTIES}), len(PROPERTIES))
 
 
 class Walks(unittest.TestCase):
