--- a/latchturn/checking/leftovers.py
+++ b/latchturn/checking/leftovers.py
@@ -19,12 +19,14 @@
     if exited:
         return []
     found += [f"call {k} in the module" for k in module.calls]
-    found += [f"a line for destination {k}" for k, queue in module.lines.items() if queue]
+    found += [f"a line for destination {k}" for k, queue in module.queues.items() if queue]
     found += [f"{len(module.timers)} tokens of the module"] * bool(module.timers)
     for exchange in module.exchanges.values():
-        found += [f"{exchange.out} set-ups counted as out at exchange {exchange.exchange}"] * bool(exchange.out)
+        found += [f"{exchange.outstanding} set-ups counted as out at exchange {exchange.exchange_id}"] * bool(
+            exchange.outstanding
+        )
     for number, group in module.groups.items():
-        found += [f"circuits of group {number} in use: {group.count}"] * any(group.count)
+        found += [f"circuits of group {number} in use: {group.in_use}"] * any(group.in_use)
     found += [f"ended call {k} remembered" for k in session.calls.ended]
     for stream in (*session.callers.by_stream.values(), *session.links.by_stream.values()):
         if stream.up and (stream.outbox or stream.in_flight):
--- a/latchturn/session/calls.py
+++ b/latchturn/session/calls.py
@@ -6,7 +6,7 @@
 from ..protocol import Answer, Release, ReleaseCause, SetUp, settings_text
 from .component import Component
 from .limits import DEADLINE_MARGIN_US, DEADLINE_OVERRUN_US, ENDED_CALL_TTL_US, MAX_LOGGED_CALL_IDS, MAX_REMEMBERED_IDS
-from .machines import CALL, CallMove
+from .machines import CALL, CallTransition
 from .state import Call, Caller, EndedCall, Exchange
 from .timers import TimerKind
 from .trace import TraceEvent
@@ -89,7 +89,7 @@
     def forget(self, call: Call, answered: bool = False) -> None:
         if self.by_id.pop(call.ident, None) is None:
             return
-        call.state = CALL.go(call.state, CallMove.FORGET)
+        call.state = CALL.next_state(call.state, CallTransition.FORGET)
         self.timers.drop(call.timer)
         if call.caller_stream in self.callers.by_stream:
             self.callers.by_stream[call.caller_stream].unanswered.discard(call.ident)
@@ -103,7 +103,7 @@
         id would also end a later attempt there, so it leaves once there can be none, and not where the call stands."""
         for ident in sorted(call.maybe_standing_at):
             if ident != call.standing_exchange and ident in self.exchanges.by_id:
-                self.exchanges.release(self.exchanges.by_id[ident], Release(call.ident, ReleaseCause.NORMAL))
+                self.exchanges.send_release(self.exchanges.by_id[ident], Release(call.ident, ReleaseCause.NORMAL))
         call.maybe_standing_at.clear()
 
     def remember_ended(self, ident: int, stood: bool, answered: bool) -> None:
@@ -149,7 +149,7 @@
         """Calls are taken to be over without a word from their exchange; should they go on there, it is told too."""
         self._cut(exchange, calls, why)
         for call in calls:
-            self.exchanges.release(exchange, Release(call.ident, ReleaseCause.NORMAL))
+            self.exchanges.send_release(exchange, Release(call.ident, ReleaseCause.NORMAL))
 
     def _cut(self, exchange: Exchange, calls: list[Call], why: str) -> None:
         if calls:
@@ -174,7 +174,7 @@
         else:
             exchange = self.exchanges.by_id[call.standing_exchange]
             self.end_standing(call, i.Outcome.CANCELLED)
-            self.exchanges.release(exchange, Release(call.ident, cause))
+            self.exchanges.send_release(exchange, Release(call.ident, cause))
 
     def inherit(self, ident: int, exchange: int) -> None:
         """Enter a call that stood in the process before this one. The module does not know it: the told free
@@ -182,7 +182,7 @@
         if exchange in self.exchanges.by_id and ident not in self.by_id and ident not in self.ended:
             self.core.counters["calls_inherited"] += 1
             call = self.by_id[ident] = Call(SetUp(ident, "", 0, "", b""), 0, self.core.now)
-            call.state = CALL.go(call.state, CallMove.ANSWER)
+            call.state = CALL.next_state(call.state, CallTransition.ANSWER)
             call.standing_exchange, call.standing_since_us, call.end_missed_since_us = (
                 exchange,
                 self.core.now,
@@ -190,4 +190,4 @@
             )
             self.exchanges.by_id[exchange].standing_calls.add(ident)
             # Its end may be told on the links of the process before, which are being closed.
-            self.missed_ends.collect_soon(self.exchanges.by_id[exchange])
+            self.missed_ends.schedule_recovery_link(self.exchanges.by_id[exchange])
--- a/latchturn/session/writing.py
+++ b/latchturn/session/writing.py
@@ -7,7 +7,7 @@
 from .component import Component
 from .inputs_and_effects import Close, Write
 from .limits import CALLER_RELEASE_TTL_US, MAX_OUTBOX_MESSAGES, MAX_WRITE_MESSAGES, RECENT_WRITE_US
-from .machines import ATTEMPT, AttemptMove, StreamMove
+from .machines import ATTEMPT, AttemptTransition, StreamTransition
 from .state import Attempt, Caller, Link, Outgoing, PendingGiveUp, Stream
 from .trace import CloseReason, TraceEvent
 
@@ -48,11 +48,11 @@
     def peer_done(self, stream: int, reason: CloseReason = CloseReason.PEER_ENDED) -> None:
         """Nothing more comes in on a stream. A caller still gets the answers that it is owed."""
         if stream in self.links.by_stream:
-            self.liveness.broken(self.links.by_stream[stream])
+            self.liveness.link_ended_by_peer(self.links.by_stream[stream])
             self.drop(self.links.by_stream[stream], reason)
         elif stream in self.callers.by_stream:
             caller = self.callers.by_stream[stream]
-            caller.move(StreamMove.FINISH)
+            caller.change_state(StreamTransition.FINISH)
             self.callers.close_if_finished(caller)
 
     def peer_reset(self, stream: int) -> None:
@@ -60,9 +60,9 @@
         if stream in self.links.by_stream:
             link = self.links.by_stream[stream]
             self.note_closed(link, CloseReason.PEER_RESET)
-            self.liveness.broken(link)
-            self.liveness.reset(link)
-            self.links.lose(link, CloseReason.PEER_RESET)
+            self.liveness.link_ended_by_peer(link)
+            self.liveness.link_reset(link)
+            self.links.remove(link, CloseReason.PEER_RESET)
         elif stream in self.callers.by_stream:
             caller = self.callers.by_stream[stream]
             self.note_closed(caller, caller.close_reason or CloseReason.PEER_RESET)
@@ -113,7 +113,7 @@
                 if item.attempt.call.attempt is item.attempt:
                     self.attempts.end(item.attempt, i.Outcome.TIMED_OUT)
             elif isinstance(item, Attempt):
-                item.state = ATTEMPT.go(item.state, AttemptMove.WRITTEN)
+                item.state = ATTEMPT.next_state(item.state, AttemptTransition.WRITTEN)
                 self.core.counters["forwards"] += 1
             elif isinstance(item, Release):
                 stream.unconfirmed[item.call] = (self.core.now, item)
@@ -126,7 +126,7 @@
         self.note_closed(stream, reason)
         self.core.effects.append(Close(stream.ident))
         if isinstance(stream, Link):
-            self.links.lose(stream, reason)
+            self.links.remove(stream, reason)
         elif isinstance(stream, Caller):
             self.callers.lose(stream)
 
