--- a/latchturn/checking/environment.py
+++ b/latchturn/checking/environment.py
@@ -1,8 +1,8 @@
-"""The closed world round the reducer: callers, exchanges, the list, writes, operators and the clock.
+"""The simulated environment of the reducer: callers, exchanges, the list, writes, operators and the clock.
 
-Owns everything outside the reducer that can differ, and offers each next thing as a choice. The reducer and the
-module in it are the real ones; they are only ever handed inputs. A choice is a tuple of a kind and whole numbers or
-words, so that a path can be kept in a file. The same choices give the same path.
+`Environment` models everything outside the reducer that can vary and offers every possible next event as a choice. The
+reducer and its decision module are the real ones and receive only inputs. A choice is a tuple of a kind and integers or
+texts, so that a path can be stored in a file. The same choices always give the same path.
 """
 
 from __future__ import annotations
@@ -21,15 +21,17 @@
 from .properties import NOTHING_LEFT, PROPERTIES
 from .scopes import SETTINGS, VARIANTS, WAIT_MS, Scope
 
-START_US = 1 << 51  # an integer above half of it is a time_us, and nothing else is
-TIME_THRESHOLD_US = START_US >> 1
+START_US = 1 << 51  # the clock at the start of each path
+TIME_THRESHOLD_US = START_US >> 1  # every integer above it in a state is a time, and no other integer is
 Choice = tuple[str | int, ...]
 CHANNEL_ADDRESS = ("127.0.0.1", 9)
 CLASS_NAME = p.settings_text(SETTINGS.classes[0].name)
-ID_REUSE_LIMIT_US = 9_000_000  # ids of ended calls are known for 10 s, so they are not used again after that here
-# Steps of 1.5 s at the end. A release that waits for a link may be written in the first ones and is kept for 8 s.
+# The reducer remembers the ids of ended calls for 10 s; after this time no choice reuses an id.
+ID_REUSE_LIMIT_US = 9_000_000
+# Steps of 1.5 s in `run_to_end`. A release that waits for a link may be written in the first ones and is kept for 8 s.
 FINAL_STEPS = 16
 DESCRIPTION = b"v=0\x00\xff"
+# Cause and note of a release with which an exchange refuses, by the name of the refusal in scopes and choices.
 REFUSALS: dict[str, tuple[p.ReleaseCause, str]] = {
     "reset": (p.ReleaseCause.TEMPORARY_FAILURE, ""),
     "full": (p.ReleaseCause.NO_CIRCUIT, "no_circuit"),
@@ -39,7 +41,7 @@
     "error": (p.ReleaseCause.RESOURCE_UNAVAILABLE, ""),
 }
 
-
+# Kinds of choices that can start new work after all calls have ended.
 FOLLOW_UP_KINDS = (
     "redial",
     "same_id",
@@ -49,14 +51,15 @@
     "sigterm",
     "rejoin",
     "unsucceed",
-)  # may follow
-# What calls meet each day; every other kind is rare, and a scope says how many rare ones a path may have.
+)
+# Kinds that ordinary calls consist of. Every other kind is rare, and a scope limits the rare choices on a path.
 COMMON_KINDS = {"set_up", "tick", "answer", "refuse", "end", "cut", "accept", "through"}
-LATE_KINDS = {"late", "twice", "astray"}  # words that come after all is over, and are the same at any time_us
+# Messages for calls that may have ended. Their effect does not depend on when they come.
+LATE_KINDS = {"late", "twice", "astray"}
 
 
 class MedianRandom(random.Random):
-    """Always draws the middle, and has no state that could tell two paths apart."""
+    """Always returns 0.5, and has no state by which two equal states of the reducer could differ."""
 
     def random(self) -> float:
         return 0.5
@@ -67,40 +70,40 @@
 
 @dataclass(slots=True)
 class SimulatedExchange:
-    """One exchange as it is, whatever the list says."""
+    """The actual state of one exchange, which may differ from its entry in the list."""
 
     ident: int
     number: int
     port: int
     alive: bool = True
     died_us: int = 0
-    answers_made: int = 0  # made so far, so that each is told from the others
+    answers_made: int = 0  # makes the description of each answer unique
 
 
 @dataclass(slots=True)
 class ReceivedSetUp:
-    """A set-up that has reached an exchange: what may still be said of it."""
+    """A set-up that has arrived at an exchange, and what limits further replies to it."""
 
     call_id: int
     given_up: bool = False
-    last_reply: str = ""  # the last word on it
+    last_reply: str = ""  # "answer" or the name of a refusal; empty before the first reply
 
 
 @dataclass(slots=True)
 class Peer:
-    """One connection, seen from its other end."""
+    """The remote end of one connection: a caller or an exchange."""
 
-    exchange_id: int = 0  # exchange, 0 for a caller's
-    set_ups: dict[int, ReceivedSetUp] = field(default_factory=dict)
-    stalled: bool = False
-    pending_write: tuple[p.Message, ...] | None = None  # being written, not through
-    pending_arrived: bool = False  # what is held has reached the peer all the same
-    partial: bool = False
-    half_closed: bool = False
+    exchange_id: int = 0  # 0 for a caller
+    set_ups: dict[int, ReceivedSetUp] = field(default_factory=dict)  # by call id
+    stalled: bool = False  # writes to this peer do not complete
+    pending_write: tuple[p.Message, ...] | None = None  # written while stalled; the completion is not reported yet
+    pending_arrived: bool = False  # the pending write has arrived although its completion is not reported
+    partial: bool = False  # it has sent part of a message
+    half_closed: bool = False  # it sends no more messages
 
 
 class PropertyViolation(Exception):
-    """A property does not hold: its name and what is wrong."""
+    """A property does not hold. `name` is the property, `message` the description."""
 
     def __init__(self, name: str, message: str) -> None:
         super().__init__(f"{name}: {message}")
@@ -109,7 +112,7 @@
 
 
 class Environment:
-    """The reducer among its peers, at one time_us of one path."""
+    """The reducer and its simulated peers at one point of a path."""
 
     def __init__(self, scope: Scope) -> None:
         self.scope = scope
@@ -125,20 +128,21 @@
             100 + k: SimulatedExchange(100 + k, k, 5000 + k) for k in range(1, scope.exchanges + 1)
         }
         self.peers: dict[int, Peer] = {}
-        self.connecting: dict[int, tuple[int, int]] = {}  # link -> exchange, when it times out
-        self.standing_calls: dict[int, int] = {}  # call -> exchange, as exchanges have it
-        self.inherited_calls: dict[int, int] = {}
+        self.connecting: dict[int, tuple[int, int]] = {}  # link -> exchange id (0: none), time of the time-out
+        self.standing_calls: dict[int, int] = {}  # call id -> exchange id, as the exchanges see it
+        self.inherited_calls: dict[int, int] = {}  # call id -> exchange id
         self.next_call_id = 1
         self.next_caller_stream = 1
         self.next_exchange_id = 200
-        self.last_update_number = 1  # of the list
+        self.last_update_number = 1  # number of the last list update
         self.last_update: p.ListUpdate | None = None
         self.draining_exchanges: set[int] = set()
         self.calls_made = 0
-        self.unlisted_restarts_us: dict[int, int] = {}  # exchange -> when it returned, which the list has not told yet
-        self.timer_pending = False  # the clock stands at a timer that has not run yet
+        self.unlisted_restarts_us: dict[int, int] = {}  # exchange id -> its restart, not yet reported by the list
+        self.timer_pending = False  # the clock has reached a timer that has not run yet
         self.accepting_callers = False
-        self.recording: list[tuple[int, object]] | None = None  # what happened, where somebody reads it
+        # Time with each input, effect, or None for an advance of the clock; None if nobody reads it.
+        self.recording: list[tuple[int, object]] | None = None
         listed = [self._exchange_record(exchange) for exchange in self.simulated_exchanges.values()]
         own = p.ExchangeRecord(i.ListEntry(100, 0, i.ListState.READY, 0), ("127.0.0.1", 5000))
         update = p.ListUpdate(1, i.ListKind.FULL, (own, *listed))
@@ -152,13 +156,16 @@
 
     @property
     def connects_by_choice(self) -> bool:
-        """Whether links are answered by choice."""
+        """Whether choices decide how connection attempts of links end; otherwise they end at once."""
         return bool(self.remaining_budgets.get("refuse_link") or self.remaining_budgets.get("silent_link"))
 
-    # --- one step ---
+    # --- one choice ---
 
     def apply(self, choice: Choice) -> None:
-        """Make a choice and let all that it brings up happen. Broken if a property does not hold after it."""
+        """Make a choice and process everything that follows from it.
+
+        Raises PropertyViolation if a property does not hold.
+        """
         kind = str(choice[0])
         if kind in self.remaining_budgets:
             self.remaining_budgets[kind] -= 1
@@ -171,7 +178,7 @@
         self.history.step_done()
 
     def _submit(self, *inputs: s.Input) -> None:
-        """Hand inputs to the reducer as the network does: what effects bring up follows at once, in order."""
+        """Pass inputs to the reducer as the network does; inputs that its effects cause follow at once, in order."""
         queue = deque(inputs)
         while queue:
             input_ = queue.popleft()
@@ -224,7 +231,7 @@
                 pass
 
     def _deliver(self, stream: int, peer: Peer, messages: tuple[p.Message, ...]) -> None:
-        """What is written has come to its peer."""
+        """Deliver written messages to their peer. Only exchanges react to them."""
         if not peer.exchange_id:
             return
         for message in messages:
@@ -239,7 +246,7 @@
     # --- the clock ---
 
     def _next_due(self) -> tuple[int, bool] | None:
-        """The next time_us at which something is due, and whether it is the reducer's reducer_due_us."""
+        """The next time at which something is due, and whether a timer of the reducer is."""
         reducer_due_us = min((at for at, _, t in self.session.timers.heap if self.timer_is_live(t)), default=None)
         other_times_us = [due for _, due in self.connecting.values()]
         if (deadline_us := self.history.next_due_us()) is not None:
@@ -250,7 +257,7 @@
         return None if other_due_us is None else (other_due_us, False)
 
     def timer_is_live(self, timer: Timer) -> bool:
-        """Whether a timer may still do anything: those withdrawn would only add moments."""
+        """Whether a timer may still have an effect. Withdrawn timers would only add steps of the clock."""
         subject = timer.what
         if timer.kind in (TimerKind.ATTEMPT, TimerKind.GIVE_UP):
             return isinstance(subject, s.Attempt) and subject.call.attempt is subject
@@ -259,7 +266,7 @@
         return timer.kind is not TimerKind.DEADLINE or subject is not None
 
     def token_is_live(self, token: object) -> bool:
-        """Whether a token of the module's is about a call_id that it still has."""
+        """Whether a timer token of the decision module belongs to a call that the module still has."""
         module = self.session.decision_module.controller
         call_id = module.timers.get(token) if isinstance(token, int) else None
         return call_id is not None and (call_id == -1 or call_id in module.calls)
@@ -275,7 +282,7 @@
                 self._submit(s.ConnectFailed(link, False))
 
     def _do_tick(self) -> None:
-        """The next time_us comes, and the timer that is due runs."""
+        """Advance the clock to the next due time and run the timer that is due."""
         due = self._next_due()
         assert due is not None
         if due[0] > self.now_us:
@@ -285,7 +292,7 @@
         self._submit(s.Tick())
 
     def _do_due(self) -> None:
-        """The next time_us comes, and other things may happen in it before the timer runs."""
+        """Advance the clock to the next due time; other choices may be made before the timer runs."""
         due = self._next_due()
         assert due is not None
         self._use_idle_step()
@@ -293,6 +300,7 @@
         self.timer_pending = True
 
     def _do_between(self) -> None:
+        """Advance the clock halfway to the next due time."""
         due = self._next_due()
         assert due is not None
         self._use_idle_step()
@@ -302,10 +310,10 @@
         if not any(call.awaits_answer for call in self.history.calls.values()):
             self.remaining_idle_steps -= 1
 
-    # --- what may happen next ---
+    # --- possible choices ---
 
     def choices(self) -> list[Choice]:
-        """Every choice there is, in a fixed order; none if nothing more can happen in this scope."""
+        """Every choice that can be made now, in a fixed order; empty if nothing more can happen in this scope."""
         if self.history.exited:
             return []
         offered: list[Choice] = []
@@ -408,8 +416,8 @@
 
     def _other_choices(self, offered: list[Choice], allowed: set[str]) -> None:
         for exchange_id, exchange in self.simulated_exchanges.items():
-            known = self.history.exchanges.get(exchange_id)
-            still_listed = known is not None and not known.gone
+            listed = self.history.exchanges.get(exchange_id)
+            still_listed = listed is not None and not listed.gone
             kinds = ("ready",) if exchange_id in self.draining_exchanges else ("drain",)
             offered += [
                 (kind, exchange_id) for kind in (*kinds, "gone", "replaced") if still_listed and kind in allowed
@@ -462,11 +470,13 @@
         return p.SetUp(call_id, CLASS_NAME, WAIT_MS, f"{number:016x}", DESCRIPTION, figures, "acme")
 
     def _do_set_up(self, stream: int) -> None:
+        """A caller sets up a new call."""
         call_id, self.next_call_id = self.next_call_id, self.next_call_id + 1
         self.calls_made += 1
         self._submit(s.MessageReceived(stream, self._make_set_up(call_id, call_id)))
 
     def _do_redial(self, call_id: int, stream: int) -> None:
+        """A caller dials the number of a refused call again, as a new call."""
         new_call_id, self.next_call_id = self.next_call_id, self.next_call_id + 1
         self._submit(
             s.MessageReceived(
@@ -475,33 +485,41 @@
         )
 
     def _do_give_up(self, call_id: int) -> None:
+        """A caller gives up a call before its final answer."""
         self._submit(s.MessageReceived(self.history.calls[call_id].stream, p.Release(call_id, p.ReleaseCause.NORMAL)))
 
     def _do_release(self, call_id: int, stream: int) -> None:
+        """A caller ends a standing call."""
         self._submit(s.MessageReceived(stream, p.Release(call_id, p.ReleaseCause.NORMAL)))
 
     def _do_same_id(self, call_id: int, stream: int) -> None:
+        """A caller repeats a set-up with the id of a known call ("other_id": on another connection)."""
         self._submit(s.MessageReceived(stream, self.history.calls[call_id].set_up))
 
     _do_other_id = _do_same_id
 
     def _do_hang_up(self, stream: int) -> None:
+        """A caller closes its connection."""
         del self.peers[stream]
         self._submit(s.ConnectionClosed(stream))
 
     def _do_half(self, stream: int) -> None:
+        """The first part of a caller's message arrives."""
         self.peers[stream].partial = True
         self._submit(s.PartialMessage(stream, True))
 
     def _do_whole(self, stream: int) -> None:
+        """The rest of the partial message arrives."""
         self.peers[stream].partial = False
         self._submit(s.PartialMessage(stream, False))
 
     def _do_garble(self, stream: int) -> None:
+        """A caller sends bytes that are not a message."""
         self.peers[stream].half_closed = True
         self._submit(s.MalformedInput(stream, "no message"))
 
     def _do_half_close(self, stream: int) -> None:
+        """A caller closes its sending direction only."""
         self.peers[stream].half_closed = True
         self._submit(s.EndOfInput(stream))
 
@@ -520,6 +538,7 @@
         return p.Answer(call_id, b"%d by %d" % (exchange.answers_made, exchange.ident))
 
     def _do_answer(self, link: int, call_id: int) -> None:
+        """An exchange answers a set-up."""
         received = self.peers[link].set_ups.pop(call_id)
         received.last_reply = "answer"
         self.standing_calls[call_id] = self.peers[link].exchange_id
@@ -528,6 +547,7 @@
         self._submit(s.MessageReceived(link, self._make_answer(link, call_id)))
 
     def _do_refuse(self, link: int, call_id: int, refusal: str) -> None:
+        """An exchange refuses a set-up; `refusal` is a key of REFUSALS."""
         received = self.peers[link].set_ups.pop(call_id)
         received.last_reply = refusal
         if "twice" in self.remaining_budgets:
@@ -536,7 +556,7 @@
         self._submit(s.MessageReceived(link, p.Release(call_id, cause, note)))
 
     def _do_late(self, link: int, call_id: int, reply: str) -> None:
-        """A reply that crosses the give-up. An answer that crosses it ends again as the give-up comes."""
+        """Send a reply that crosses the give-up. A call answered so ends when the give-up arrives."""
         del self.peers[link].set_ups[call_id]
         if reply == "answer":
             self._submit(s.MessageReceived(link, self._make_answer(link, call_id)))
@@ -544,6 +564,7 @@
             self._submit(s.MessageReceived(link, p.Release(call_id, p.ReleaseCause.TEMPORARY_FAILURE)))
 
     def _do_twice(self, link: int, call_id: int) -> None:
+        """An exchange sends the same reply to a set-up a second time."""
         received = self.peers[link].set_ups.pop(call_id)
         if received.last_reply == "answer":
             self._submit(s.MessageReceived(link, self._make_answer(link, call_id)))
@@ -552,23 +573,26 @@
             self._submit(s.MessageReceived(link, p.Release(call_id, cause, note)))
 
     def _do_astray(self, link: int, call_id: int, right_link: int) -> None:
-        """An answer on a link that did not carry the set-up: no exchange does that, and it must count for
-        nothing."""
+        """Send an answer on a link that did not carry the set-up. No exchange does this; it must have no effect."""
         self._submit(s.MessageReceived(link, self._make_answer(right_link, call_id)))
 
     def _do_end(self, call_id: int, cause: p.ReleaseCause = p.ReleaseCause.NORMAL) -> None:
+        """An exchange ends a standing call."""
         exchange_id = self.standing_calls.pop(call_id)
         link = next(k for k, peer in self.peers.items() if peer.exchange_id == exchange_id)
         self._submit(s.MessageReceived(link, p.Release(call_id, cause)))
 
     def _do_cut(self, call_id: int) -> None:
+        """An exchange ends a standing call because of a failure."""
         self._do_end(call_id, p.ReleaseCause.TEMPORARY_FAILURE)
 
     def _do_reset(self, link: int) -> None:
+        """A link is reset."""
         del self.peers[link]
         self._submit(s.ConnectionClosed(link))
 
     def _do_die(self, exchange_id: int) -> None:
+        """An exchange dies: its standing calls and links are lost."""
         self.simulated_exchanges[exchange_id].alive = False
         self.simulated_exchanges[exchange_id].died_us = self.now_us
         self.standing_calls = {call_id: at for call_id, at in self.standing_calls.items() if at != exchange_id}
@@ -577,10 +601,12 @@
                 self._do_reset(link)
 
     def _do_return(self, exchange_id: int) -> None:
+        """A dead exchange starts again; the list does not report it."""
         self.simulated_exchanges[exchange_id].alive = True
         self.unlisted_restarts_us[exchange_id] = self.now_us
 
     def _do_group(self, link: int, free_circuits: int) -> None:
+        """An exchange reports the free circuits of its trunk group."""
         self._submit(s.MessageReceived(link, p.GroupState(0, {"spare": free_circuits, "total": 40, "allowed": 100.0})))
 
     # --- links ---
@@ -592,6 +618,7 @@
         self._do_group(link, 40)
 
     def _complete_connect(self, link: int) -> None:
+        """Accept or refuse a link, depending on whether its exchange is alive."""
         exchange_id, _ = self.connecting[link]
         if self.simulated_exchanges[exchange_id].alive:
             self._accept_link(link)
@@ -607,12 +634,14 @@
     # --- writes ---
 
     def _do_stall(self, stream: int) -> None:
+        """Writes to this peer stop completing."""
         self.peers[stream].stalled = True
         self.history.stalled_streams.add(stream)
 
     _do_stall_caller = _do_stall
 
     def _do_arrive(self, stream: int) -> None:
+        """A pending write arrives before its completion is reported."""
         peer = self.peers[stream]
         assert peer.pending_write is not None
         peer.pending_arrived = True
@@ -620,6 +649,7 @@
         self._deliver(stream, peer, peer.pending_write)
 
     def _do_through(self, stream: int) -> None:
+        """The stall ends: a pending write arrives and its completion is reported."""
         peer = self.peers[stream]
         peer.stalled = False
         self.history.stalled_streams.discard(stream)
@@ -637,19 +667,22 @@
         self._submit(s.ListUpdateReceived(self.last_update))
 
     def _do_drain(self, exchange_id: int) -> None:
+        """The list reports an exchange as draining."""
         self.draining_exchanges.add(exchange_id)
         self._send_list_update(self._exchange_record(self.simulated_exchanges[exchange_id], i.ListState.DRAINING))
 
     def _do_ready(self, exchange_id: int) -> None:
+        """The list reports an exchange as ready."""
         self.draining_exchanges.discard(exchange_id)
         self._send_list_update(self._exchange_record(self.simulated_exchanges[exchange_id]))
 
     def _do_gone(self, exchange_id: int) -> None:
+        """The list reports an exchange as gone."""
         self.draining_exchanges.discard(exchange_id)
         self._send_list_update(self._exchange_record(self.simulated_exchanges[exchange_id], i.ListState.GONE))
 
     def _do_replaced(self, exchange_id: int) -> None:
-        """A new exchange at the address of one that has died unseen by the list."""
+        """List a new exchange at the address of one whose death the list has not reported."""
         old = self.simulated_exchanges.pop(exchange_id)
         self.standing_calls = {call_id: at for call_id, at in self.standing_calls.items() if at != exchange_id}
         new = self.simulated_exchanges[self.next_exchange_id] = SimulatedExchange(
@@ -665,6 +698,7 @@
         self._send_list_update(self._exchange_record(new, started=self.now_us))
 
     def _do_list_twice(self) -> None:
+        """The last list update arrives a second time."""
         assert self.last_update is not None
         self._submit(s.ListUpdateReceived(self.last_update))
 
@@ -682,6 +716,7 @@
         self._submit(s.AdminRequest(1, o.Command.REJOIN))
 
     def _do_sighup(self, name: str) -> None:
+        """SIGHUP applies the settings of a variant."""
         channel = ("127.0.0.1", 10) if name == "moved" else CHANNEL_ADDRESS
         self._submit(s.Reconfigured((), channel, 1024, replace(VARIANTS[name])))
 
@@ -689,17 +724,21 @@
         self._submit(s.Terminate())
 
     def _do_succeed(self) -> None:
+        """A successor process serves."""
         self._submit(s.SuccessorChanged(True))
 
     def _do_unsucceed(self) -> None:
+        """The successor process serves no longer."""
         self._submit(s.SuccessorChanged(False))
 
     def _do_inherit(self, exchange_id: int) -> None:
+        """A predecessor hands over a standing call."""
         call_id, self.next_call_id = self.next_call_id, self.next_call_id + 1
         self.inherited_calls[call_id] = self.standing_calls[call_id] = exchange_id
         self._submit(s.CallInherited(call_id, exchange_id))
 
     def _do_passed_on(self, call_id: int) -> None:
+        """A predecessor forwards the release of an inherited call by its caller."""
         del self.inherited_calls[call_id]
         self._submit(s.ReleaseForwarded(call_id, int(p.ReleaseCause.NORMAL)))
 
@@ -707,7 +746,7 @@
 
     @property
     def all_calls_ended(self) -> bool:
-        """Whether every call that was made is over at its caller and at its exchange."""
+        """Whether every call has ended for its caller and at its exchange."""
         calls = self.history.calls.values()
         return not self.standing_calls and not any(
             c.awaits_answer or (c.was_answered and not c.has_ended) for c in calls
@@ -715,7 +754,7 @@
 
     @property
     def only_late_messages_remain(self) -> bool:
-        """Whether only words can still come that concern nobody: all is over, and no further call can be made."""
+        """Whether all calls have ended and nothing can start new work, so that only late messages can follow."""
         more_to_come = self.calls_made < self.scope.calls
         more_to_come = more_to_come or (
             self.remaining_rare_choices > 0 and any(self.remaining_budgets.get(k) for k in FOLLOW_UP_KINDS)
@@ -724,8 +763,10 @@
         return self.calls_made > 0 and self.all_calls_ended and not more_to_come and not write_pending
 
     def run_to_end(self) -> None:
-        """Let everything come to its end: standing calls end, writes are through, time passes. Broken if then
-        anything is left."""
+        """Bring the path to its end: standing calls end, writes complete, time passes.
+
+        Raises PropertyViolation if a property does not hold or anything is left in the reducer.
+        """
         if self.all_calls_ended and (stale := stale_timers(self.session)):
             raise PropertyViolation(NOTHING_LEFT.name, NOTHING_LEFT.describe(stale) or "")
         for stream in [k for k, peer in self.peers.items() if peer.stalled]:
