--- a/latchturn/checking/__init__.py
+++ b/latchturn/checking/__init__.py
@@ -1,4 +1,5 @@
-"""Exhaustive exploration of the reducer in the small: a closed world, properties, an explorer, planted faults.
+"""A model checker for the reducer: a simulated environment, properties, an explorer and planted faults.
 
-Nothing here is imported by the program that serves. docs/checking.md says what is explored and what is not.
+Small scopes are explored exhaustively. The session controller itself imports nothing from here. docs/checking.md
+describes what is explored and what is not.
 """
--- a/latchturn/checking/explorer.py
+++ b/latchturn/checking/explorer.py
@@ -1,8 +1,8 @@
-"""The explorer: every path of a scope, breadth first, on several processes, the same on any number of them.
+"""The explorer: follows every path of a scope, breadth first, on any number of processes with the same result.
 
-A level of states is cut into pieces; each worker makes every choice of its states and gives back what it found, and
-the pieces are put together in their order. So the states, their numbers and the path that is shown first hang on the
-scope alone.
+Each level of states is divided into batches. A worker makes every choice of the states of a batch and returns the new
+states, and the results are merged in the order of the batches. The states, their numbers and the counterexample that is
+reported therefore depend on the scope alone.
 """
 
 from __future__ import annotations
@@ -28,66 +28,69 @@
 
 @dataclass(slots=True)
 class Result:
-    """What a run has seen. `exhausted`: every path was followed to its end."""
+    """The result of a run. `exhausted` means that every path was followed to its end."""
 
     scope: str
     states: int = 0
     transitions: int = 0
     depth: int = 0
-    ends: int = 0  # states after which nothing more can happen
+    ends: int = 0  # states without choices
     seconds: float = 0.0
     exhausted: bool = False
-    violated: str = ""  # property
+    violated: str = ""  # name of the violated property
     message: str = ""
-    choices: tuple[Choice, ...] = ()
+    choices: tuple[Choice, ...] = ()  # the path to the violation
     pairs: Pairs = field(default_factory=Counter)
 
 
 @dataclass(slots=True)
 class _BatchResult:
-    """What one worker found of one piece."""
+    """The result of a worker for one batch."""
 
-    states: list[tuple[int, Choice, bytes, bytes]]  # of which state of the piece, by what choice, what
+    states: list[tuple[int, Choice, bytes, bytes]]  # index of the parent in the batch, choice, fingerprint, snapshot
     transitions: int
     ends: int
-    violation: tuple[int, Choice | None, str, str] | None
+    violation: (
+        tuple[int, Choice | None, str, str] | None
+    )  # index in the batch, choice (None: at the end), name, message
     pairs: Pairs
 
 
-_seen_fingerprints: set[bytes] = set()
+_seen_fingerprints: set[bytes] = set()  # of this worker alone; `_explore` removes what several workers found
 
 
 def _expand(batch: list[bytes]) -> _BatchResult:
-    """Make every choice of every state of a piece. Stops at the first that breaks a property."""
-    found = _BatchResult([], 0, 0, None, Counter())
-    gc.collect()  # once a piece: worlds are full of circles, and looking for them on each step takes most time
-    with record(found.pairs):
-        for k, snapshot in enumerate(batch):
+    """Make every choice of every state of a batch. Stops at the first violation of a property."""
+    result = _BatchResult([], 0, 0, None, Counter())
+    gc.collect()  # once per batch: environments are full of reference cycles, and automatic collection takes most time
+    with record(result.pairs):
+        for index, snapshot in enumerate(batch):
             environment = load(snapshot)
             choices = environment.choices()
             if not choices:
-                found.ends += 1
+                result.ends += 1
                 try:
                     environment.run_to_end()
-                except PropertyViolation as broken:
-                    found.violation = found.violation or (k, None, broken.name, broken.message)
-                    return found
+                except PropertyViolation as violation:
+                    result.violation = result.violation or (index, None, violation.name, violation.message)
+                    return result
             for choice in choices:
-                found.transitions += 1
+                result.transitions += 1
                 environment = load(snapshot)
                 try:
                     environment.apply(choice)
-                except PropertyViolation as broken:
-                    found.violation = (k, choice, broken.name, broken.message)
-                    return found
+                except PropertyViolation as violation:
+                    result.violation = (index, choice, violation.name, violation.message)
+                    return result
                 digest = fingerprint(environment)
                 if digest not in _seen_fingerprints:
                     _seen_fingerprints.add(digest)
-                    found.states.append((k, choice, digest, save(environment)))
-    return found
+                    result.states.append((index, choice, digest, save(environment)))
+    return result
 
 
 def _prepare(fault: str) -> None:
+    """Make this process ready to expand states, with the named fault planted if any."""
     _seen_fingerprints.clear()
     gc.disable()
     if fault:
@@ -101,7 +104,10 @@
 
 
 def _worker_main(pipe: Connection, fault: str) -> None:
-    """A worker: pieces come, what is found goes back."""
+    """The loop of a worker process: expands the batches it receives and sends the results back.
+
+    A text is the name of a scope, whose initial state is sent back.
+    """
     _seen_fingerprints.clear()
     gc.disable()
     if fault:
@@ -113,7 +119,7 @@
 
 
 class _Workers:
-    """Processes that expand pieces. Forked, so that a fault planted in one run is not there in the next."""
+    """Processes that expand batches. They are forked for each run, so a fault planted in one run does not stay."""
 
     def __init__(self, jobs: int, fault: str) -> None:
         context = multiprocessing.get_context("fork")
@@ -134,23 +140,23 @@
             pipe.close()
 
     def expand(self, level: list[bytes]) -> Iterator[_BatchResult]:
-        """What is found of each piece of a level, in the order of the pieces."""
+        """Expand a level and yield the results in the order of its batches."""
         batches = enumerate(_batches(level))
-        idle, ready, following = list(self.pipes), dict[int, _BatchResult](), 0
-        at: dict[Connection, int] = {}
+        idle, ready, next_batch = list(self.pipes), dict[int, _BatchResult](), 0
+        assigned: dict[Connection, int] = {}  # pipe -> number of the batch that its worker expands
         while True:
             while idle and (batch := next(batches, None)) is not None:
                 pipe = idle.pop()
-                at[pipe] = batch[0]
+                assigned[pipe] = batch[0]
                 pipe.send(batch[1])
-            if following in ready:
-                yield ready.pop(following)
-                following += 1
-            elif not at:
+            if next_batch in ready:
+                yield ready.pop(next_batch)
+                next_batch += 1
+            elif not assigned:
                 return
             else:
-                for pipe in [k for k in wait(list(at)) if isinstance(k, Connection)]:
-                    ready[at.pop(pipe)] = pipe.recv()
+                for pipe in [k for k in wait(list(assigned)) if isinstance(k, Connection)]:
+                    ready[assigned.pop(pipe)] = pipe.recv()
                     idle.append(pipe)
 
 
@@ -158,8 +164,7 @@
     scope: str, jobs: int = 1, seconds: float = 0.0, fault: str = "",
     progress: Callable[[Result], None] | None = None,
 ) -> Result:  # fmt: skip
-    """Follow every path of a scope, for `seconds` at most (0: without end), with a planted fault if one is
-    named."""
+    """Follow every path of a scope, for at most `seconds` (0: no limit), with the named fault planted if any."""
     started_s = time.monotonic()
     workers = _Workers(jobs, fault)
     try:
@@ -173,8 +178,8 @@
 def _initial_state(scope: str) -> tuple[bytes, bytes, tuple[str, str] | None]:
     try:
         environment = Environment(SCOPES[scope])
-    except PropertyViolation as broken:
-        return b"", b"", (broken.name, broken.message)
+    except PropertyViolation as violation:
+        return b"", b"", (violation.name, violation.message)
     return fingerprint(environment), save(environment), None
 
 
@@ -183,37 +188,37 @@
 ) -> Result:
     result = Result(scope)
     workers.pipes[0].send(scope)
-    digest, snapshot, broken = workers.pipes[0].recv()
-    if broken:
-        result.violated, result.message = broken
+    digest, snapshot, violation = workers.pipes[0].recv()
+    if violation:
+        result.violated, result.message = violation
         return result
-    parents: list[tuple[int, Choice]] = [(-1, ())]
+    parents: list[tuple[int, Choice]] = [(-1, ())]  # by state number: number of the parent, choice made there
     seen = {digest}
     level, state_numbers = [snapshot], [0]
     while level:
-        following: list[bytes] = []
+        next_level: list[bytes] = []
         next_state_numbers: list[int] = []
-        for at, found in enumerate(workers.expand(level)):
-            result.transitions += found.transitions
-            result.ends += found.ends
-            result.pairs.update(found.pairs)
-            for k, choice, digest, snapshot in found.states:
+        for batch_number, batch_result in enumerate(workers.expand(level)):
+            result.transitions += batch_result.transitions
+            result.ends += batch_result.ends
+            result.pairs.update(batch_result.pairs)
+            for index, choice, digest, snapshot in batch_result.states:
                 if digest not in seen:
                     seen.add(digest)
                     next_state_numbers.append(len(parents))
-                    parents.append((state_numbers[at * BATCH_SIZE + k], choice))
-                    following.append(snapshot)
+                    parents.append((state_numbers[batch_number * BATCH_SIZE + index], choice))
+                    next_level.append(snapshot)
             result.states = len(parents)
-            if found.violation is not None:
-                # What other pieces found of this level does not count: so the counts are the same each time.
-                k, last, result.violated, result.message = found.violation
-                path = _path(parents, state_numbers[at * BATCH_SIZE + k])
-                result.choices = path if last is None else (*path, last)
+            if batch_result.violation is not None:
+                # Results of later batches of this level are ignored, so that the counts are always the same.
+                index, last_choice, result.violated, result.message = batch_result.violation
+                path = _path(parents, state_numbers[batch_number * BATCH_SIZE + index])
+                result.choices = path if last_choice is None else (*path, last_choice)
                 return result
             if seconds and time.monotonic() - started_s > seconds:
                 return result
-        result.depth += bool(following)
-        level, state_numbers = following, next_state_numbers
+        result.depth += bool(next_level)
+        level, state_numbers = next_level, next_state_numbers
         result.seconds = time.monotonic() - started_s
         if progress is not None:
             progress(result)
--- a/latchturn/checking/leftovers.py
+++ b/latchturn/checking/leftovers.py
@@ -1,7 +1,7 @@
-"""What is left in the reducer and in the module once every call has ended: the one look into their fields.
+"""Finds what is left in the reducer and the decision module after every call has ended.
 
-Used after the end of a path alone. What is kept on purpose (links, the list, what is remembered of numbers and
-callers) is not named here.
+This is the only check that reads their state, and it runs only at the end of a path. State that is kept on purpose
+(links, the list, records of numbers and callers) is not reported.
 """
 
 from __future__ import annotations
@@ -13,27 +13,27 @@
 
 
 def leftovers(session: Session, exited: bool) -> list[str]:
-    """Each thing that should not be there, in words; of a program that has ended only what it still owed."""
+    """Describe each thing that should not be left. Nothing is reported after the program has exited."""
     module = session.decision_module.controller
     found = [f"call {k}" for k in session.calls.by_id]
     if exited:
         return []
-    found += [f"call {k} in the module" for k in module.calls]
-    found += [f"a line for destination {k}" for k, queue in module.queues.items() if queue]
-    found += [f"{len(module.timers)} tokens of the module"] * bool(module.timers)
+    found += [f"call {k} in the decision module" for k in module.calls]
+    found += [f"a queue for destination {k}" for k, queue in module.queues.items() if queue]
+    found += [f"{len(module.timers)} timer tokens of the decision module"] * bool(module.timers)
     for exchange in module.exchanges.values():
-        found += [f"{exchange.outstanding} set-ups counted as out at exchange {exchange.exchange_id}"] * bool(
+        found += [f"{exchange.outstanding} set-ups counted as outstanding at exchange {exchange.exchange_id}"] * bool(
             exchange.outstanding
         )
     for number, group in module.groups.items():
-        found += [f"circuits of group {number} in use: {group.in_use}"] * any(group.in_use)
+        found += [f"circuits of trunk group {number} in use: {group.in_use}"] * any(group.in_use)
     found += [f"ended call {k} remembered" for k in session.calls.ended]
     for stream in (*session.callers.by_stream.values(), *session.links.by_stream.values()):
         if stream.up and (stream.outbox or stream.in_flight):
             found.append(f"unwritten messages on stream {stream.ident}")
         if stream.unconfirmed:
             found.append(f"unconfirmed releases on stream {stream.ident}")
-    found += [f"owed calls on caller {c.ident}" for c in session.callers.by_stream.values() if c.unanswered]
+    found += [f"unanswered calls on caller {c.ident}" for c in session.callers.by_stream.values() if c.unanswered]
     found += [f"attempts on link {k.ident}" for k in session.links.by_stream.values() if k.attempts]
     found += [f"standing calls at {e.ident}" for e in session.exchanges.by_id.values() if e.standing_calls]
     kinds = [t.kind for _, _, t in session.timers.heap if t.kind in CALL_TIMERS and t.what is not None]
@@ -42,6 +42,6 @@
 
 
 def stale_timers(session: Session) -> list[str]:
-    """Timers that still hold a call or an attempt though every call is over."""
+    """Describe the timers that still refer to a call or an attempt although no call is left."""
     kinds = [t.kind for _, _, t in session.timers.heap if t.kind in CALL_TIMERS and t.what is not None]
     return [f"a timer {kind.name}" for kind in kinds if not session.calls.by_id]
--- a/latchturn/checking/pairs.py
+++ b/latchturn/checking/pairs.py
@@ -1,4 +1,4 @@
-"""Which state of each machine has met which move: recorded as paths are followed, and told against the tables."""
+"""Coverage of the state machines: which moves were made in which states, compared with the machines' tables."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @contextmanager
 def record(counts: Pairs) -> Iterator[None]:
-    """Count every move of every machine while this lasts."""
+    """Count every move of every state machine while the context is active."""
     original = Machine.next_state
 
     def counted(self: Machine[IntEnum, IntEnum], state: IntEnum, move: IntEnum) -> IntEnum:
@@ -30,7 +30,7 @@
 
 
 def pair_counts(pairs: Pairs) -> list[tuple[Pair, int, str]]:
-    """Every pair with how often it was met, and for those that cannot be the reason why."""
+    """Every pair of state and move, its count, and the reason if the pair is impossible (otherwise empty)."""
     rows = []
     for machine in MACHINES:
         for state in machine.states:
@@ -41,5 +41,5 @@
 
 
 def unmet_pairs(pairs: Pairs) -> list[Pair]:
-    """The pairs that can be and were not met."""
+    """The possible pairs that were not met."""
     return [pair for pair, count, reason in pair_counts(pairs) if not reason and not count]
--- a/latchturn/checking/reached.py
+++ b/latchturn/checking/reached.py
@@ -1,4 +1,4 @@
-"""Which lines of the reducer paths reach: the small scopes cut short, and random walks, under a line tracer."""
+"""Line coverage of the reducer by random walks in every scope."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 
 def unreached_lines(walks: int, steps: int) -> dict[str, list[int]]:
-    """For each file of the reducer the lines that no path reached: `walks` of `steps` choices in every scope."""
-    import coverage  # a tool of its own: nothing else here needs it
+    """For each file of the reducer, the lines that no walk reached: `walks` of `steps` choices in every scope."""
+    import coverage  # imported here because only this function needs it
 
     tracer = coverage.Coverage(include=[os.fspath(SESSION_FOLDER / "*.py")], data_file=None)
     tracer.start()
--- a/latchturn/checking/states.py
+++ b/latchturn/checking/states.py
@@ -1,9 +1,9 @@
-"""States as bytes: snapshots to go on from, and fingerprints by which two states count as one.
+"""States as bytes: snapshots to continue from, and fingerprints that identify equivalent states.
 
-A snapshot is a pickle in which settings stand by reference. A fingerprint is BLAKE2b over a walk of all that a state
-holds; moments are told relative to now, objects that are met again by the order of their first meeting. Left out is
-what nothing reads: counters, effects, the trace, the random generator, the
-number of timers set, timers that can do nothing.
+A snapshot is a pickle that refers to settings instead of copying them. A fingerprint is a BLAKE2b digest of everything
+that a state contains. Times are encoded relative to now, and an object that occurs again as the number of its first
+occurrence. What does not influence later behaviour is excluded: counters, effects, the trace, the random generator, the
+number of timers set, and timers without effect.
 """
 
 from __future__ import annotations
@@ -29,21 +29,24 @@
 from .scopes import SCOPES, SETTINGS, VARIANTS, Scope
 
 _MEDIAN_RANDOM = MedianRandom()
+# Immutable objects that all states share; snapshots and fingerprints contain their index.
 _SHARED: tuple[object, ...] = (_MEDIAN_RANDOM, SETTINGS, *SETTINGS.classes, *VARIANTS.values())
 _SHARED_INDEX = {id(shared): k for k, shared in enumerate(_SHARED)}
 
 
 def _shared(index: int) -> object:
+    """Called by pickle to restore a shared object."""
     return _SHARED[index]
 
 
 def _scope(name: str) -> Scope:
+    """Called by pickle to restore a scope."""
     return SCOPES[name]
 
 
 def _reduce(value: Any) -> Any:
-    at = _SHARED_INDEX.get(id(value))
-    return value.__reduce_ex__(2) if at is None else (_shared, (at,))
+    index = _SHARED_INDEX.get(id(value))
+    return value.__reduce_ex__(2) if index is None else (_shared, (index,))
 
 
 _REDUCERS: dict[type, Callable[[Any], Any]] = {
@@ -53,7 +56,7 @@
 
 
 def save(environment: Environment) -> bytes:
-    """A snapshot of a world."""
+    """Take a snapshot of an environment."""
     buffer = io.BytesIO()
     pickler = pickle.Pickler(buffer, 5)
     pickler.dispatch_table = _REDUCERS
@@ -62,7 +65,7 @@
 
 
 def load(snapshot: bytes) -> Environment:
-    """The world of a snapshot, apart from all others."""
+    """Restore the environment of a snapshot as an independent copy."""
     environment = pickle.loads(snapshot)
     assert isinstance(environment, Environment)
     return environment
@@ -70,6 +73,7 @@
 
 # --- fingerprints ---
 
+# Attributes that fingerprints leave out, by class.
 _EXCLUDED: dict[type, frozenset[str]] = {
     Core: frozenset(("counters", "effects", "random", "now", "trace")),
     Controller: frozenset(
@@ -87,13 +91,13 @@
         )
     ),
     Timers: frozenset(("count", "heap")),
-    # What settings are in use says the rest; the classes before end with their callers' patience.
+    # These follow from the settings in use; the previous classes expire after their callers' longest give-up time.
     Classes: frozenset(("served", "settings", "by_name", "tenants", "before")),
     History: frozenset(("now_us", "notify")),
     Environment: frozenset(("scope", "now_us", "session", "recording")),
 }
 _PLAIN_TYPES = (str, bytes, type(None), bool, float)
-_FIELD_CACHE: dict[type, tuple[str, ...]] = {}
+_FIELD_CACHE: dict[type, tuple[str, ...]] = {}  # results of `_included_slots`
 
 
 def _included_slots(kind: type) -> tuple[str, ...]:
@@ -102,14 +106,14 @@
 
 
 class _Encoder:
-    """One walk over a state."""
+    """Encodes the objects of one state; `seen` numbers them by id in the order of their first occurrence."""
 
     def __init__(self, now_us: int) -> None:
         self.now_us = now_us
         self.seen: dict[int, int] = {}
 
     def encode(self, value: Any) -> Any:
-        """A value as marshal can write it, the same for all states that count as one."""
+        """Convert a value to what marshal can write, with equal results for equivalent states."""
         kind = type(value)
         if kind is int:
             return value - self.now_us if value > TIME_THRESHOLD_US else (value,)
@@ -125,15 +129,15 @@
         if kind is SetUp:
             return (value.call, value.called, value.wait_ms)
         if kind is i.Settings or kind is i.CallClass:
-            at = _SHARED_INDEX.get(id(value))
-            return repr(value) if at is None else at
+            index = _SHARED_INDEX.get(id(value))
+            return repr(value) if index is None else index
         if (object_id := id(value)) in self.seen:
             return ("met", self.seen[object_id])
         if kind is set or kind is frozenset:
             return sorted((encode(v) for v in value), key=repr)
         self.seen[object_id] = len(self.seen)
         if isinstance(value, Component):
-            # A part knows all the others: what is its own is walked where the part itself is.
+            # A component refers to all the others. Each is encoded once, by `fingerprint`.
             attributes = vars(value)
             excluded = _EXCLUDED.get(kind, ())
             return [
@@ -150,12 +154,12 @@
 
 
 def fingerprint(environment: Environment) -> bytes:
-    """16 bytes that are equal for states that count as one."""
+    """Return 16 bytes that are equal for equivalent states."""
     encoder = _Encoder(environment.now_us)
     session = environment.session
     module = session.decision_module.controller
     tokens = [(module.timers[k], encoder.encode(k)) for k in module.timers if environment.token_is_live(k)]
-    components = [encoder.encode(part) for part in vars(session).values() if isinstance(part, Component)]
+    components = [encoder.encode(component) for component in vars(session).values() if isinstance(component, Component)]
     timers = [
         (at - environment.now_us, timer.kind.name, encoder.encode(timer.what))
         for at, _, timer in sorted(session.timers.heap, key=lambda t: t[:2])
--- a/latchturn/checking/traces.py
+++ b/latchturn/checking/traces.py
@@ -1,7 +1,7 @@
-"""Paths that a person can read and a program can replay: files, stories and ready tests.
+"""Stored paths: trace files, replay, narratives for people, and generated tests.
 
-A trace file is JSON: its version, the scope, the fault that was planted if any, the property that broke and the
-choices. What cannot be used raises `TraceError` with one line that says where and what was expected.
+A trace file is JSON with its version, the scope, the planted fault if any, the violated property and the choices. A
+file that cannot be used raises `TraceError` with one line that gives the place and what was expected there.
 """
 
 from __future__ import annotations
@@ -16,15 +16,18 @@
 from .environment import START_US, Choice, Environment, PropertyViolation
 from .scopes import SCOPES
 
-VERSION = 1
+VERSION = 1  # of the trace file format
 
 
 class TraceError(Exception):
-    """A trace file that cannot be used: the file, the place in it, what is wrong, what was expected."""
+    """A trace file cannot be used. The text gives the file, the place in it, the error and what was expected."""
 
 
 class Trace(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One path. `choices` hold a kind and its words; `broken` and `message` are empty for a path that holds."""
+    """One path. A choice is a kind and its arguments.
+
+    `broken` is the name of the violated property and `message` its description; both are empty if all properties hold.
+    """
 
     version: int
     scope: str
@@ -35,20 +38,20 @@
 
 
 def write(path: Path, trace: Trace) -> None:
-    """Keep a trace; the file appears whole or not at all."""
+    """Write a trace file. The file appears complete or not at all."""
     partial_path = path.with_name(path.name + ".part")
     partial_path.write_bytes(msgspec.json.format(msgspec.json.encode(trace), indent=1) + b"\n")
     partial_path.replace(path)
 
 
 def read(path: Path) -> Trace:
-    """The trace in a file."""
+    """Read and check a trace file."""
     try:
         trace: Trace = msgspec.json.decode(path.read_bytes(), type=Trace)
     except OSError as error:
         raise TraceError(f"{path}: cannot be read: {error.strerror}") from None
     except msgspec.MsgspecError as error:
-        raise TraceError(f"{path}: no trace: {error}") from None
+        raise TraceError(f"{path}: not a valid trace: {error}") from None
     if trace.version != VERSION:
         raise TraceError(f"{path}: version {trace.version}, expected {VERSION}")
     if trace.scope not in SCOPES:
@@ -59,8 +62,11 @@
 def replay(
     scope: str, choices: Iterable[Choice], environment: Environment | None = None, end: bool = True
 ) -> PropertyViolation | None:
-    """Make choices one after the other; what broke, if anything did. TraceError for a choice that is not offered
-    at its place. With `end`, what follows the last choice is checked too where the scope ends there."""
+    """Make choices one after the other and return the violation of a property, if there is one.
+
+    Raises TraceError for a choice that is not offered at its place. With `end`, a path after which nothing more can
+    happen is also brought to its end.
+    """
     environment = environment or Environment(SCOPES[scope])
     try:
         for number, choice in enumerate(choices, 1):
@@ -72,20 +78,20 @@
             environment.apply(choice)
         if end and not environment.choices():
             environment.run_to_end()
-    except PropertyViolation as broken:
-        return broken
+    except PropertyViolation as violation:
+        return violation
     return None
 
 
-# --- stories ---
+# --- narratives ---
 
 
 def narrate(scope: str, choices: Iterable[Choice]) -> list[str]:
-    """A path as lines: when, who, what. The last line says what broke, if anything did."""
+    """Describe a path in lines with time, actor and event. The last line is the violation, if there is one."""
     environment = Environment(SCOPES[scope])
     environment.recording = []
     lines: list[str] = []
-    broken = None
+    violation = None
     try:
         for choice in choices:
             environment.apply(choice)
@@ -93,10 +99,10 @@
         if not environment.choices():
             environment.run_to_end()
     except PropertyViolation as error:
-        broken = error
+        violation = error
     _append_lines(environment, lines)
-    if broken is not None:
-        lines.append(f"BROKEN  {broken.name}: {broken.message}")
+    if violation is not None:
+        lines.append(f"BROKEN  {violation.name}: {violation.message}")
     return lines
 
 
@@ -108,9 +114,9 @@
 
 
 def _describe(environment: Environment, item: object) -> list[tuple[str, str]]:
-    """Who does what, in words; nothing for what says nothing to a reader."""
+    """Return the actor and the text of each line for an input or effect; none for one of no interest to a reader."""
     if item is None:
-        return [("clock", "goes on")]
+        return [("clock", "advances")]
     if isinstance(item, s.Write):
         return [
             ("controller", f"to {_stream_label(environment, item.stream)}: {_message_text(m)}") for m in item.messages
@@ -120,7 +126,7 @@
     if isinstance(item, s.WriteCompleted | s.Tick | s.Log):
         return [("controller", item.text)] if isinstance(item, s.Log) else []
     if isinstance(item, s.Connect | s.Close | s.CloseIdle):
-        verb = {s.Connect: "opens", s.Close: "closes", s.CloseIdle: "closes, if idle,"}[type(item)]
+        verb = {s.Connect: "opens", s.Close: "closes", s.CloseIdle: "closes if idle:"}[type(item)]
         return [("controller", f"{verb} {_stream_label(environment, item.stream)}")]
     if isinstance(item, s.ConnectionClosed | s.Connected | s.ConnectFailed | s.EndOfInput | s.Accepted):
         return [(_stream_label(environment, item.stream), type(item).__name__.lower())]
@@ -145,7 +151,7 @@
 def _message_text(message: p.Message) -> str:
     if isinstance(message, p.Release):
         cause = p.ReleaseCause(message.cause).name.lower().replace("_", " ")
-        retry = f", come back in {message.retry_after_ms} ms" if message.retry_after_ms else ""
+        retry = f", retry after {message.retry_after_ms} ms" if message.retry_after_ms else ""
         return f"release of call {message.call} ({cause}{retry})"
     if isinstance(message, p.SetUp):
         return f"set-up of call {message.call}, waits {message.wait_ms} ms"
@@ -160,7 +166,7 @@
 from latchturn.checking.traces import replay
 
 
-class Found(unittest.TestCase):
+class Counterexample(unittest.TestCase):
     def test_{name}_holds(self) -> None:
         choices = [
 {choices}
@@ -170,7 +176,7 @@
 
 
 def as_test(trace: Trace) -> str:
-    """A test that replays the path and fails as long as the property is broken on it."""
+    """Generate a test that replays the path and fails as long as the property is violated on it."""
     choices = "\n".join(f"            {tuple(c)!r}," for c in trace.choices)
     name = (trace.broken or "path").replace("-", "_")
     return TEST_TEMPLATE.format(message=trace.message or "A path.", name=name, choices=choices, scope=trace.scope)
--- a/latchturn/checking/walks.py
+++ b/latchturn/checking/walks.py
@@ -1,4 +1,4 @@
-"""Random walks beyond the exhaustive scopes, replayable by their seed, and the shortening of what they find."""
+"""Random walks beyond the exhaustive scopes, reproducible by their seed, and shortening of the paths they find."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from .pairs import Pairs, record
 from .scopes import SCOPES
 
-# How often a kind of choice is taken against the others: the clock must go on, and all must not break at once.
+# Relative weight of each kind of choice: the clock must advance, and failures must not happen all at once.
 WEIGHTS = {
     "tick": 10.0,
     "answer": 6.0,
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class WalkResult:
-    """What one walk has seen."""
+    """The result of one walk; `violated` is the name of the violated property, `choices` the path to the violation."""
 
     seed: int
     steps: int = 0
@@ -40,8 +40,10 @@
 
 
 def walk(seed: int, steps: int, scope: str = "wide") -> WalkResult:
-    """Make so many choices, drawn by the seed, or fewer if a property breaks or nothing more can happen. At the
-    end everything is brought to its end and nothing may be left."""
+    """Make up to `steps` random choices, fewer if a property is violated or nothing more can happen.
+
+    Then bring the path to its end and check that nothing is left.
+    """
     started_s, generator = time.monotonic(), random.Random(seed)
     result = WalkResult(seed)
     path: list[Choice] = []
@@ -57,8 +59,8 @@
                 result.kinds[str(path[-1][0])] += 1
                 environment.apply(path[-1])
             environment.run_to_end()
-        except PropertyViolation as broken:
-            result.violated, result.message = broken.name, broken.message
+        except PropertyViolation as violation:
+            result.violated, result.message = violation.name, violation.message
             result.choices = tuple(path)
     result.steps, result.calls = len(path), result.kinds["set_up"]
     result.seconds = time.monotonic() - started_s
@@ -66,7 +68,7 @@
 
 
 def replay_offered(choices: list[Choice], scope: str) -> tuple[str, list[Choice]]:
-    """Which property breaks on a path from which choices that are not offered fall out, and the path as made."""
+    """Replay a path, skipping choices that are not offered. Returns the violated property and the choices made."""
     environment, made = Environment(SCOPES[scope]), list[Choice]()
     try:
         for choice in choices:
@@ -74,22 +76,24 @@
                 made.append(choice)
                 environment.apply(choice)
         environment.run_to_end()
-    except PropertyViolation as broken:
-        return broken.name, made
+    except PropertyViolation as violation:
+        return violation.name, made
     return "", made
 
 
-def shorten(choices: tuple[Choice, ...], broken: str, scope: str = "wide", seconds: float = 20.0) -> tuple[Choice, ...]:
-    """A shorter path on which the same property breaks: pieces are left out, ever smaller ones, while it does."""
+def shorten(
+    choices: tuple[Choice, ...], violated: str, scope: str = "wide", seconds: float = 20.0
+) -> tuple[Choice, ...]:
+    """Shorten a path that violates a property, by leaving out ever smaller sections while it still does."""
     until, path = time.monotonic() + seconds, list(choices)
-    piece = max(1, len(path) // 2)
-    while piece and time.monotonic() < until:
+    section = max(1, len(path) // 2)
+    while section and time.monotonic() < until:
         at, shorter = 0, False
         while at < len(path) and time.monotonic() < until:
-            name, made = replay_offered(path[:at] + path[at + piece :], scope)
-            if name == broken and len(made) < len(path):
+            name, made = replay_offered(path[:at] + path[at + section :], scope)
+            if name == violated and len(made) < len(path):
                 path, shorter = made, True
             else:
-                at += piece
-        piece = piece if shorter and piece == 1 else piece // 2
+                at += section
+        section = section if shorter and section == 1 else section // 2
     return tuple(path)
