--- a/latchturn/checking/pairs.py
+++ b/latchturn/checking/pairs.py
@@ -34,7 +34,7 @@
     rows = []
     for machine in MACHINES:
         for state in machine.states:
-            for move in machine.transitions:
+            for move in machine.transition_kinds:
                 pair = (machine.name, state.name, move.name)
                 rows.append((pair, pairs[pair], machine.impossible.get((state, move), "")))
     return rows
--- a/latchturn/session/machines.py
+++ b/latchturn/session/machines.py
@@ -26,16 +26,16 @@
     two together do not name each pair just once."""
 
     def __init__(
-        self, name: str, states: type[S], transitions: type[M], next_states: Mapping[tuple[S, M], S],
+        self, name: str, states: type[S], transition_kinds: type[M], next_states: Mapping[tuple[S, M], S],
         impossible: Mapping[tuple[S, M], str],
     ) -> None:  # fmt: skip
-        pairs = {(s, m) for s in states for m in transitions}
+        pairs = {(s, m) for s in states for m in transition_kinds}
         if next_states.keys() & impossible.keys() or next_states.keys() | impossible.keys() != pairs:
             raise ValueError(f"the table of {name} does not name each pair just once")
         self.name = name
-        self.states, self.transitions = states, transitions
+        self.states, self.transition_kinds = states, transition_kinds
         self.impossible = dict(impossible)
-        self._rows = tuple(tuple(next_states.get((s, m)) for m in transitions) for s in states)
+        self._rows = tuple(tuple(next_states.get((s, m)) for m in transition_kinds) for s in states)
 
     def next_state(self, state: S, transition: M) -> S:
         """The state after a move; InvalidTransition if it cannot be."""
--- a/tests/test_checking.py
+++ b/tests/test_checking.py
@@ -32,7 +32,7 @@
     def test_each_table_names_every_pair_once(self) -> None:
         for machine in MACHINES:
             for state in machine.states:
-                for move in machine.transitions:
+                for move in machine.transition_kinds:
                     if reason := machine.impossible.get((state, move)):
                         with self.assertRaisesRegex(InvalidTransition, "met"):
                             machine.next_state(state, move)
