--- a/latchturn/session/liveness.py
+++ b/latchturn/session/liveness.py
@@ -1,12 +1,22 @@
-"""The failure detector: whether an exchange still has the calls that stand there, judged by what is heard from it.
+"""The failure detector: decides whether an exchange still has the calls that stand there.
 
-Owns every conclusion that calls are over without a word from their exchange or from discovery. There is one clock: the
-time since the last message that proves that the process is the one at which the calls stand. A connect that succeeds, a
-set-up that is written or a connection that stays open proves nothing: a hung process and a vanished machine allow all
-three. What breaks, is refused or times out only ever shortens the time until the conclusion, never sets it back.
+Owns every conclusion that standing calls have ended though neither their exchange nor discovery has reported it. Rules:
 
-The conclusion is due within `SILENCE_LIMIT_US` of that message, whatever discovery does: the protocol gives 8 s from
-the end of a call that its exchange cannot tell, and the call may have ended right after the message.
+Proof of life: a message from the process at which the calls stand; `Exchange.last_alive_us` is the time of the last
+one. A successful connect, a completed write or a link that stays open proves nothing: a hung process and a vanished
+machine allow all three, since a link may be half-open. The one exception is stated at `link_connected`.
+
+Silence limit: standing calls count as ended `SILENCE_LIMIT_US` after the last proof of life, whatever discovery
+reports. The protocol allows 8 s from the end of a call that its exchange cannot report, and the call may have ended
+right after that message. Broken links, refused connects and time-outs can bring this conclusion forward, but never
+postpone it.
+
+Probe link: after `PROBE_AFTER_US` without a proof of life a further link is opened. A live exchange sends its group
+state on it at once, and then the releases of calls that have ended.
+
+Outage: begins with the first failed connect after the last proof of life. From then on another process may take over
+the address of the exchange, so messages prove life only on links from before the outage. If none of these is left, the
+calls from before the outage count as ended.
 """
 
 from __future__ import annotations
@@ -30,72 +40,76 @@
 
 
 class Liveness(Component):
-    """Decides when the calls that stand at an exchange are over."""
+    """Decides when the calls that stand at an exchange have ended without a report."""
 
     # --- evidence ---
 
     def message_received(self, exchange: Exchange, link: Link) -> None:
-        """A message has come on a link."""
+        """Record a message on a link, which is a proof of life unless the link was opened during an outage."""
         exchange.last_received_us = self.core.now
         if exchange.outage_since_us and link.up_since_us >= exchange.outage_since_us:
-            # Guards against a new process at the address, which knows nothing of the calls of the one before.
+            # A new process may have taken over the address, and it does not know the calls of the one before.
             if not self._links_before_outage(exchange):
-                self._end_calls_before_outage(exchange, "answers again on new links alone")
+                self._end_calls_before_outage(exchange, "responds again, but only on links opened since its outage")
             return
         self._mark_alive(exchange)
 
     def link_connected(self, exchange: Exchange) -> None:
-        """A link has come up. It proves something only of an exchange that sends no group states, by which
-        any other process shows itself on each new link."""
+        """Record that a link has come up.
+
+        That is a proof of life only for an exchange that sends no group states. One that does sends its group state
+        on each new link, and only that message counts.
+        """
         exchange.kept_link_broken = False
         if not exchange.sends_group_states:
             exchange.last_received_us = self.core.now
             self._mark_alive(exchange)
 
     def _mark_alive(self, exchange: Exchange) -> None:
-        """The process at which the calls stand lives."""
+        """Record a proof of life, which ends an outage."""
         exchange.last_alive_us, exchange.outage_since_us = self.core.now, 0
         if exchange.quiet_noted:
             exchange.quiet_noted = False
             self.core.note(TraceEvent.EXCHANGE_RESPONSIVE, exchange=exchange.ident)
 
     def connect_failed(self, exchange: Exchange, link: Link, refused: bool) -> None:
-        """A link did not come up."""
+        """Conclude from a failed connect: a time-out begins an outage, a refusal may mean that the process has died."""
         if not refused:
             self._begin_outage(exchange, link)
             return
-        idle = [other for other in exchange.links.values() if other.up]
-        # One that refuses further links may only have enough of them, if another link still tells something.
+        open_links = [other for other in exchange.links.values() if other.up]
+        # An exchange whose other links still deliver messages may refuse a further link only because it has enough.
         silent = exchange.standing_calls and self.core.now - exchange.last_alive_us >= PROBE_AFTER_US
-        if not (exchange.kept_link_broken or not idle or silent):
+        if not (exchange.kept_link_broken or not open_links or silent):
             return
         if exchange.state is not i.ListState.READY:
-            # One that drains takes no links, and its calls go on, but not for long.
+            # A draining exchange accepts no links while its calls go on, but these do not last long.
             exchange.refusing_since_us = exchange.refusing_since_us or self.core.now
             self._begin_outage(exchange, link)
             return
-        # A link broke and nothing listens: the process has died, and its calls with it. Guards against
-        # waiting for links on which nothing was under way: those of a dead process may stay silent.
+        # A link broke and nobody listens: the process has died, and its calls with it. Its other links are closed here,
+        # since without traffic the links of a dead process may stay silent.
         self.calls.cut(exchange, self.core.now + 1, "refuses connections")
-        for other in idle:
+        for other in open_links:
             self.writing.drop(other, CloseReason.EXCHANGE_DEAD)
 
     @staticmethod
     def _begin_outage(exchange: Exchange, link: Link) -> None:
-        """From the first connect that comes to nothing on, another process may come to have the address."""
+        """Begin an outage at the start of a failed connect, unless one has begun or a proof of life came later."""
         if link.connect_started_us > exchange.last_alive_us:
             exchange.outage_since_us = exchange.outage_since_us or link.connect_started_us
 
     def link_ended_by_peer(self, link: Link) -> None:
-        """The peer ended a link. Those kept are reconnected at once, which tells whether it has died."""
+        """Record that the peer ended a link. A kept link reconnects at once; a refusal then shows a dead process."""
         if link.slot < KEPT_LINKS:
             self.exchanges.by_id[link.exchange_id].kept_link_broken = True
 
     def link_reset(self, link: Link) -> None:
-        """The peer reset a link; called while the link is still entered.
+        """Conclude from a reset by the peer; called while the link is still in the tables.
 
-        Guards against a process that dies and has another in its place before a connect could be refused: its
-        links are reset together, and not for being idle. One that drains may end them and keep its calls.
+        A process that dies may be replaced by another before any connect is refused. Its links are then reset
+        together and while in use, whereas idle links may be reset for being idle. A draining exchange may reset its
+        links and keep its calls.
         """
         exchange = self.exchanges.by_id[link.exchange_id]
         others = any(other.up for other in exchange.links.values() if other is not link)
@@ -107,26 +121,29 @@
         if busy:
             self.calls.cut(exchange, self.core.now + 1, "reset all its links at once")
             return
-        # Another machine may have the address of one that vanished, and reset what it does not know.
+        # Another machine may have taken the address of one that vanished, and resets connections unknown to it.
         if not exchange.all_links_reset_us:
             exchange.received_before_reset_us = exchange.last_received_us
         exchange.all_links_reset_us = self.core.now
 
     def end_received(self, exchange: Exchange, call: Call) -> None:
-        """An exchange has told the end of a call, which only the process at which it stood can do."""
+        """Record a reported end of a call. Only the process at which the call stood can report it, so an earlier reset
+        of all links did not replace that process."""
         if call.standing_since_us < exchange.all_links_reset_us:
             exchange.all_links_reset_us = 0
 
     # --- conclusions ---
 
     def check(self, exchange: Exchange) -> None:
-        """Now and then: ask an exchange that is quiet for a sign of life, and end its calls in time."""
+        """Probe a quiet exchange, and end its standing calls at the silence limit; called by each sweep."""
         if not exchange.standing_calls:
             exchange.all_links_reset_us = 0
             return
         if exchange.all_links_reset_us and self.core.now - exchange.received_before_reset_us >= SILENCE_LIMIT_US:
             calls = self.calls.stood_before(exchange, exchange.all_links_reset_us)
-            self.calls.end_unheard(exchange, calls, "reset all its links after a silence, and has told no end since")
+            self.calls.end_unheard(
+                exchange, calls, "reset all its links after a silence, and has reported no end of a call since"
+            )
             exchange.all_links_reset_us = 0
         silent_us = self.core.now - exchange.last_alive_us
         if silent_us >= SILENCE_LIMIT_US:
@@ -135,14 +152,14 @@
             exchange.refusing_since_us
             and self.core.now - max(exchange.refusing_since_us, exchange.last_alive_us) > DRAINED_AFTER_US
         ):
-            self.calls.cut(exchange, self.core.now + 1, "has drained and refused links")
+            self.calls.cut(exchange, self.core.now + 1, "has drained and refuses connections")
         elif silent_us >= PROBE_AFTER_US and self.core.now - exchange.last_probe_us >= PROBE_INTERVAL_US:
             self._probe_quiet(exchange)
 
     def _end_calls_of_silent(self, exchange: Exchange) -> None:
-        """Its calls are over, as far as their callers are concerned. Should it live, it is told so too."""
+        """End the standing calls of an exchange at the silence limit, and release them there in case it still runs."""
         if exchange.outage_since_us and exchange.last_received_us >= exchange.outage_since_us:
-            self._end_calls_before_outage(exchange, "answers again on new links alone")
+            self._end_calls_before_outage(exchange, "responds again, but only on links opened since its outage")
             return
         standing = self.calls.stood_before(exchange, self.core.now + 1)
         for link in list(exchange.links.values()):
@@ -151,50 +168,52 @@
         self.calls.end_unheard(exchange, standing, "is silent")
 
     def _end_calls_before_outage(self, exchange: Exchange, why: str) -> None:
-        """The process that answers now may be another: calls from before its first link are over."""
+        """End the calls from before the outage: the process that responds now may be another. It is alive from now."""
         self.calls.end_unheard(exchange, self.calls.stood_before(exchange, exchange.outage_since_us), why)
         self._mark_alive(exchange)
 
     def probe_after_timeout(self, exchange: Exchange) -> None:
-        """Set-ups time out unheard: see at once whether a new link hears more."""
+        """Open a probe link at once, because a set-up timed out on a link that received no message meanwhile."""
         if self.core.now - exchange.last_probe_us >= PROBE_INTERVAL_US:
             exchange.last_probe_us = self.core.now
             self.open_extra_link(exchange)
 
     def _probe_quiet(self, exchange: Exchange) -> None:
-        """Nothing has been heard for some time: a new link tells whether anybody is there."""
+        """Open a probe link to an exchange that has been silent for some time."""
         exchange.last_probe_us = self.core.now
         if not exchange.quiet_noted:
             exchange.quiet_noted = True
             silent_ms = (self.core.now - exchange.last_alive_us) // 1000
-            reason = f"{len(exchange.standing_calls)} calls stand, nothing heard for {silent_ms} ms"
+            reason = f"{len(exchange.standing_calls)} standing calls, no message for {silent_ms} ms"
             self.core.note(TraceEvent.EXCHANGE_QUIET, exchange=exchange.ident, reason=reason)
         self.open_extra_link(exchange, may_replace=True, max_wait_us=SILENT_LINK_WAIT_US)
 
     def open_extra_link(self, exchange: Exchange, may_replace: bool = False, max_wait_us: float = math.inf) -> bool:
-        """Open a further link, unless one is coming up already or has told nothing yet; whether that was done.
+        """Open a further link as a probe or recovery link; False if none was opened.
 
-        A link that has told nothing for `max_wait_us` is not waited for: the network may have forgotten it.
+        None is opened while another link is connecting or has received nothing yet. A link that has been up for
+        `max_wait_us` without a message is not waited for: the network may have dropped it (half-open link).
 
-        What comes first on it proves that the exchange lives, and calls that have ended are told there. The links
-        that are open stay so: a hung exchange will speak on them when it goes on, and what it tells on one that it
-        does not know to be closed is lost.
+        The first message on the new link is a proof of life, and the exchange repeats there the releases of calls that
+        have ended. The open links stay open: a hung exchange will send on them when it continues, and what it sends on
+        a link that it does not know to be closed is lost. If all slots are taken, `may_replace` allows closing one.
         """
-        unheard = [k for k in exchange.links.values() if exchange.sends_group_states and not k.last_received_us]
-        waited_for = [k for k in unheard if self.core.now - k.up_since_us < max_wait_us]
-        if waited_for or any(not k.up for k in exchange.links.values()):
+        silent_links = [k for k in exchange.links.values() if exchange.sends_group_states and not k.last_received_us]
+        awaited_links = [k for k in silent_links if self.core.now - k.up_since_us < max_wait_us]
+        if awaited_links or any(not k.up for k in exchange.links.values()):
             return False
         slot = next((k for k in reversed(range(MAX_LINKS_PER_EXCHANGE)) if k not in exchange.links), None)
         if slot is None:
-            # One that has said nothing yet may be told ends of calls as a hung exchange goes on.
-            return may_replace and not unheard and self._replace_least_needed(exchange)
+            # A hung exchange that continues may send the releases of ended calls on a link that is silent so far.
+            return may_replace and not silent_links and self._replace_least_needed(exchange)
         self.links.connect(exchange, slot)
         return True
 
     def _replace_least_needed(self, exchange: Exchange) -> bool:
-        """Open a link in the place of the one that is worth least: without calls, and not the last from before.
+        """Open a link in place of the least needed one that has no attempts and is not the last proof link.
 
-        Only of an exchange that has been quiet: on any other, what it is just sending on that link would be lost.
+        Only safe for an exchange that has been quiet, or that notices the close soon: what another is just sending on
+        the closed link would be lost.
         """
         needed = {self.calls.by_id[k].answer_link for k in exchange.standing_calls}
         idle = [
@@ -202,20 +221,20 @@
         ]
         if not idle:
             return False
-        least = min(idle, key=lambda k: (k.ident in needed, k.slot < KEPT_LINKS, k.last_received_us))
-        self.writing.drop(least, CloseReason.PROBED)
-        if least.slot not in exchange.links:  # a kept one is opened anew by its close
-            self.links.connect(exchange, least.slot)
+        least_needed = min(idle, key=lambda k: (k.ident in needed, k.slot < KEPT_LINKS, k.last_received_us))
+        self.writing.drop(least_needed, CloseReason.PROBED)
+        if least_needed.slot not in exchange.links:  # closing a kept link has already reopened it
+            self.links.connect(exchange, least_needed.slot)
         return True
 
     @staticmethod
     def _links_before_outage(exchange: Exchange) -> list[Link]:
-        """The links from before the outage, on which only the process from before can say anything."""
+        """The open links from before the outage; only the process from before it can send on them."""
         return [link for link in exchange.links.values() if link.up and link.up_since_us < exchange.outage_since_us]
 
     def is_last_proof_link(self, link: Link) -> bool:
-        """Whether a silent link is still of use: it is the last one on which an exchange where calls stand
-        could show that it is still the same process."""
+        """Whether a link must be kept though it is silent: calls stand at its exchange, and no other open link dates
+        from before the last proof of life, so only here could the exchange prove that it is still the same process."""
         exchange = self.exchanges.by_id[link.exchange_id]
         others = [
             k for k in exchange.links.values() if k is not link and k.up and k.up_since_us <= exchange.last_alive_us
