--- a/latchturn/session/missed_ends.py
+++ b/latchturn/session/missed_ends.py
@@ -1,10 +1,17 @@
-"""Ends of calls that an exchange may have told where nobody hears them.
+"""Ends of calls that an exchange reported on connections from which this process could not receive them.
 
-An exchange tells the end of a call once on the connection of its set-up, or on any other that it believes to be open,
-and once more on the next connection that is opened. It does not know that a connection was reset on the way, was
-forgotten by the network or died in the queue of its listener, so either word may be lost, and there is no way to ask
-for a call. Owns what follows from a lost link: when another is opened for the second word, and which calls are ended
-because the second word may be lost too.
+An exchange reports the end of a call (a release) twice: once on the connection of its set-up, or on any other that it
+believes to be open, and once more on the next connection that is opened. It does not notice that a connection was reset
+on the way, dropped by the network or closed in the queue of its listener, so each report may be lost, and the protocol
+has no query for a call. Rules:
+
+Recovery link: when the first report may be lost, a further link is opened to receive the second one. That is so when
+the link on which a call was answered is lost, when a link is lost before its initial messages have arrived, or when the
+first message on a link comes late.
+
+Lost notification: the second report may be lost too, on a link that came up after the call's own link was lost, and was
+lost itself before its initial messages had arrived. Nothing can be received of such a call any more, so it counts as
+ended `SILENCE_LIMIT_US` after its end may have been missed.
 """
 
 from __future__ import annotations
@@ -23,15 +30,15 @@
 
 
 class MissedEnds(Component):
-    """Hears of ends that were told on lost links, and ends the calls of which nothing may be heard any more."""
+    """Opens recovery links, and ends the calls of which both reports may be lost."""
 
     def calls_without_link(self, exchange: Exchange) -> list[Call]:
-        """The standing calls whose own link is no more, by id."""
+        """The standing calls whose own link is lost, by id."""
         calls = (self.calls.by_id[ident] for ident in sorted(exchange.standing_calls))
         return [call for call in calls if call.answer_link not in self.links.by_stream]
 
     def link_lost(self, exchange: Exchange, link: Link, reason: CloseReason) -> None:
-        """A link that was up is out of its table."""
+        """Record which reports the loss of a link that was up may have cost; the link is out of the tables."""
         initial_lost = not self._initial_messages_received(exchange, link, reason)
         if initial_lost:
             for known in self.exchanges.at_address(exchange.address):
@@ -43,7 +50,7 @@
             self.schedule_recovery_link(exchange)
 
     def _initial_messages_received(self, exchange: Exchange, link: Link, reason: CloseReason) -> bool:
-        """Whether all has been heard that an exchange says first on a new link: its group state, then ends of calls."""
+        """Whether a lost link had delivered its initial messages: the group state, then releases of ended calls."""
         if not exchange.sends_group_states:
             return self.core.now - link.up_since_us >= INITIAL_MESSAGES_US
         if not link.first_received_us:
@@ -51,26 +58,30 @@
         return reason is CloseReason.PEER_ENDED or self.core.now - link.first_received_us >= INITIAL_MESSAGES_US
 
     def first_message_received(self, exchange: Exchange, link: Link) -> None:
-        """A link is heard for the first time. An exchange that hung takes its connections, their ends and the ends of
-        calls in any order as it goes on: what it tells after it took this link needs another one."""
+        """Schedule a recovery link if the first message on a link comes late: the exchange has hung.
+
+        When it continues, it processes new connections, closed connections and ends of calls in any order. What it
+        reports on dead connections after it has accepted this link is repeated only on a further one.
+        """
         if self.core.now - link.up_since_us >= LATE_FIRST_MESSAGE_US and self._may_have_missed_ends(exchange):
             self.schedule_recovery_link(exchange)
 
     def schedule_recovery_link(self, exchange: Exchange) -> None:
-        """Open a further link before long, on which ends that nobody has heard are told again."""
+        """Have a further link opened after `RECOVERY_DELAY_US`, on which the exchange repeats its lost reports."""
         soon_us = self.core.now + RECOVERY_DELAY_US
         exchange.recovery_due_us = min(exchange.recovery_due_us or soon_us, soon_us)
 
     def check(self, exchange: Exchange) -> None:
-        """Now and then: open a link to hear ends, and end in time what no link may tell of any more."""
+        """End the calls of which both reports may be lost, and open a recovery link if one is due; called by each
+        sweep."""
         due_us = self.core.now - SILENCE_LIMIT_US
-        suspected = [
+        both_lost = [
             call
             for call in self.calls_without_link(exchange)
             if call.end_missed_since_us <= exchange.initial_messages_lost_us
         ]
-        missed = [call for call in suspected if call.end_missed_since_us <= due_us]
-        self.calls.end_unheard(exchange, missed, "may have been told over on links that are dead")
+        missed = [call for call in both_lost if call.end_missed_since_us <= due_us]
+        self.calls.end_unheard(exchange, missed, "may have reported ends of calls on lost links only")
         if not exchange.recovery_due_us or self.core.now < exchange.recovery_due_us:
             return
         if not self._may_have_missed_ends(exchange):
@@ -79,10 +90,10 @@
             exchange.recovery_due_us = self.core.now + RECOVERY_INTERVAL_US if self.calls_without_link(exchange) else 0
 
     def _may_have_missed_ends(self, exchange: Exchange) -> bool:
-        """Whether the exchange may have told an end on a lost link: of a call that stands here without its link, or of
-        one that stood in the process before, which this one does not know."""
+        """Whether an end may have been reported on a lost link: of a call that stands here without its link, or of one
+        that stood in the preceding process and is unknown to this one."""
         return bool(self.calls_without_link(exchange)) or self.core.now - self.phases.started_us < PREDECESSOR_ENDS_US
 
     def _is_responsive(self, exchange: Exchange) -> bool:
-        """Whether the exchange has said something lately, so that it knows soon of a link that is closed."""
+        """Whether the exchange has sent a message lately, so that it will soon notice the close of a link."""
         return self.core.now - exchange.last_received_us < LATE_FIRST_MESSAGE_US
--- a/latchturn/session/state.py
+++ b/latchturn/session/state.py
@@ -1,6 +1,7 @@
-"""What the reducer keeps of calls, attempts, connections and exchanges. Records only: the parts change them.
+"""The records that the reducer keeps of calls, attempts, connections and exchanges; the components change them.
 
-`state` fields move by the tables in `machines` alone.
+Fields named `state` of calls, attempts and connections change only by the transition tables in `machines`. Times are
+Unix microseconds, 0 if the event has not happened.
 """
 
 from __future__ import annotations
@@ -127,51 +128,59 @@
 
 @dataclass(slots=True, eq=False)
 class Link(Stream):
+    """A connection to an exchange."""
+
     exchange_id: int = 0
-    slot: int = 0
-    attempts: set[Attempt] = field(default_factory=set)
-    connect_started_us: int = 0  # when its connect began
-    up_since_us: int = 0  # since when it has been up
-    first_received_us: int = 0  # when it first heard anything, 0 if it never has
-    last_received_us: int = 0  # when it last did
-    group_state_missing_since_us: int = 0  # since when another link has heard a group state that this one has not
-    unanswered_timeouts: int = 0  # attempts that timed out on it in a row with nothing heard
+    slot: int = 0  # position among the links of its exchange, see limits.MAX_LINKS_PER_EXCHANGE
+    attempts: set[Attempt] = field(default_factory=set)  # those queued or awaiting an answer here
+    connect_started_us: int = 0
+    up_since_us: int = 0
+    first_received_us: int = 0  # first message
+    last_received_us: int = 0  # latest message
+    group_state_missing_since_us: int = 0  # since when another link has received a group state that this one lacks
+    unanswered_timeouts: int = 0  # attempts that timed out here in a row without any message from the exchange
 
 
 @dataclass(slots=True, eq=False)
 class ReceivedGroupState:
-    """A group state, and the links on which it has been heard."""
+    """A group state lately received from an exchange, and the links on which it has arrived so far."""
 
     received_us: int
     figures: Mapping[str, float]
-    links: set[int]
+    links: set[int]  # stream ids
 
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """A far exchange as the list has it, and its links by slot."""
+    """A remote exchange as the exchange list describes it, with its links and the evidence about its calls.
+
+    A proof of life is a message that shows that the exchange is still the process at which the calls stand (see
+    `liveness`); initial messages are those that an exchange sends first on a new link (see `missed_ends`).
+    """
 
     ident: int
     number: int
     state: i.ListState
     started_us: int
     address: tuple[str, int]
-    links: dict[int, Link] = field(default_factory=dict)
-    last_received_us: int = 0  # when a message last came from its address, or it was entered
-    last_alive_us: int = 0  # when a message last came that proves it is still the same process
-    outage_since_us: int = 0  # when the first connect began that has timed out since then, else 0
-    quiet_noted: bool = False  # whether it has been noted as quiet since then
-    last_probe_us: int = 0  # when a link was last opened for a sign of life
+    links: dict[int, Link] = field(default_factory=dict)  # by slot
+    last_received_us: int = 0  # latest message from its address, at first the time when it was listed
+    last_alive_us: int = 0  # latest proof of life, at first the time when it was listed
+    outage_since_us: int = 0  # when the first connect began that has failed since the last proof of life, else 0
+    quiet_noted: bool = False  # whether its silence since the last proof of life is in the trace
+    last_probe_us: int = 0  # when a probe link was last opened or tried
     last_reset_us: int = 0  # when it last reset a link
-    all_links_reset_us: int = 0  # when it reset all its links after a silence, 0 once it is known what that meant
-    received_before_reset_us: int = 0  # when it had been heard before that
-    initial_messages_lost_us: int = 0  # when the latest link came up that was lost before what is said first had come
-    recovery_due_us: int = 0  # when a link is to be opened to hear ends that were told on lost links, 0 if none is
-    consecutive_failures: int = 0  # connections in a row that came to nothing
-    reconnect_due_us: int = 0
-    refusing_since_us: int = 0  # since when it has refused links while it drains, else 0
-    kept_link_broken: bool = False  # the peer ended the first link, and none has come up since
-    standing_calls: set[int] = field(default_factory=set)
-    recent_group_states: deque[ReceivedGroupState] = field(default_factory=deque)  # group states lately
-    sends_group_states: bool = False  # whether a group state has ever come
-    unsent_releases: list[tuple[int, Release]] = field(default_factory=list)  # releases that wait for a link
+    all_links_reset_us: int = 0  # when it reset all its links after a silence, 0 once the consequence is decided
+    received_before_reset_us: int = 0  # latest message before that reset
+    initial_messages_lost_us: int = (
+        0  # when the latest of the links came up that were lost before their initial messages
+    )
+    recovery_due_us: int = 0  # when a recovery link is to be opened, 0 if none is
+    consecutive_failures: int = 0  # links lost or not connected in a row, without a message between them
+    reconnect_due_us: int = 0  # earliest time of the next connect of a kept link
+    refusing_since_us: int = 0  # since when it has refused links while draining, else 0
+    kept_link_broken: bool = False  # whether it has ended a kept link and none has come up since
+    standing_calls: set[int] = field(default_factory=set)  # call ids
+    recent_group_states: deque[ReceivedGroupState] = field(default_factory=deque)  # oldest first
+    sends_group_states: bool = False  # whether a group state has ever been received
+    unsent_releases: list[tuple[int, Release]] = field(default_factory=list)  # expiry time, release waiting for a link
