--- a/latchturn/session/exchanges.py
+++ b/latchturn/session/exchanges.py
@@ -1,4 +1,4 @@
-"""The exchanges as the list has them, and what they say on their links."""
+"""Exchanges as the exchange list describes them, and the messages that they send on their links."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 from .state import Attempt, Call, Exchange, Link, ReceivedGroupState
 from .trace import CloseReason, TraceEvent
 
-CAUSE_BY_NOTE = {
+CAUSE_BY_NOTE = {  # the note in a refusal, and the cause that the decision module is given
     "no_circuit": i.Cause.NO_CIRCUIT,
     "turned_back": i.Cause.REFUSED_BY_TANDEM,
     "far_overload": i.Cause.DESTINATION_PROCESSOR_FULL,
     "overload": i.Cause.PROCESSOR_FULL,
     "lines_busy": i.Cause.NUMBER_BUSY,
 }
-# Causes that end a standing call. Any other is the late copy of a refusal and ends nothing.
+# Release causes that end a standing call. A release with any other is a late copy of a refusal and ends nothing.
 CAUSES_OF_END = (ReleaseCause.NORMAL, ReleaseCause.TEMPORARY_FAILURE)
-OUTCOME_BY_CAUSE = {  # of a release before the answer
+OUTCOME_BY_CAUSE = {  # outcomes of attempts that an exchange releases before an answer; for all others NO_LINE
     ReleaseCause.NO_CIRCUIT: i.Outcome.TURNED_AWAY,
     ReleaseCause.TIMER_EXPIRY: i.Outcome.NOT_SENT,
     ReleaseCause.TEMPORARY_FAILURE: i.Outcome.CUT,
@@ -43,38 +43,41 @@
 
 
 class Exchanges(Component):
-    """The exchanges as the list has them, and what they say on their links."""
+    """The listed exchanges; applies list updates and handles the messages of exchanges."""
 
     def __init__(self) -> None:
         self.by_id: dict[int, Exchange] = {}
 
     def apply_list_update(self, update: ListUpdate) -> None:
-        # An event may come twice, the whole list of the start among them: only what is new counts.
+        """Add, change and remove exchanges as an event of the command channel says, and report it to the decision
+        module."""
+        # An event may arrive twice, the full list of the start included: only events after the cursor are new.
         if update.kind is None or update.number <= self.channel.cursor:
             return
         self.channel.cursor = max(self.channel.cursor, update.number)
         named = {listed.entry.exchange for listed in update.records}
-        told: list[i.ListEntry] = []  # to the module
+        entries: list[i.ListEntry] = []  # for the decision module
         for listed in update.records:
             entry = listed.entry
             known = self.by_id.get(entry.exchange)
             if known is None:
                 if entry.state is i.ListState.GONE:
                     continue
-                # Guards against calls that would reach a new exchange under the id of the one that was there.
+                # A new id at a known address replaces the exchange there. Without this, calls for the old id would be
+                # sent to the new exchange.
                 for other in self.by_id.values():
                     if other.address == listed.address and other.ident not in named:
                         other.state = i.ListState.GONE
-                        told.append(i.ListEntry(other.ident, other.number, other.state, other.started_us))
+                        entries.append(i.ListEntry(other.ident, other.number, other.state, other.started_us))
                 known = self.by_id[entry.exchange] = Exchange(
                     entry.exchange, entry.number, entry.state, entry.started_us, listed.address,
                     last_received_us=self.core.now,
                     last_alive_us=self.core.now,
                 )  # fmt: skip
-            told.append(entry)
+            entries.append(entry)
             self.core.note(TraceEvent.EXCHANGE_LISTED, exchange=entry.exchange, reason=entry.state.name)
             if entry.started_us > known.started_us:
-                self.calls.cut(known, entry.started_us, "has started anew")
+                self.calls.cut(known, entry.started_us, "has restarted")
             known.state, known.started_us = entry.state, entry.started_us
             if entry.state is i.ListState.READY:
                 known.refusing_since_us = 0
@@ -89,40 +92,42 @@
                 if known.ident not in named:
                     known.state = i.ListState.GONE
         self.core.counters["list_updates"] += 1
-        self.core.events.append(i.ExchangeList(update.kind, told))
+        self.core.events.append(i.ExchangeList(update.kind, entries))
         for exchange in list(self.by_id.values()):
             if exchange.state is i.ListState.GONE:
-                self.calls.cut(exchange, self.core.now + 1, "is gone")
+                self.calls.cut(exchange, self.core.now + 1, "is gone from the list")
                 for link in list(exchange.links.values()):
                     self.writing.drop(link, CloseReason.EXCHANGE_GONE)
-                # Guards the memory and the descriptors kept for exchanges: on long days they come and go.
+                # Exchanges come and go in a long run: without this, their memory and descriptors would add up.
                 del self.by_id[exchange.ident]
             else:
                 self.links.ensure_kept_links(exchange)
 
     def withdraw_queued_attempts(self, exchange: Exchange) -> None:
-        """Guards calls that would wait for a link to come up to an exchange that takes nothing new: what has
-        not begun to leave is not sent."""
+        """End the attempts at a draining exchange of which no byte has been written, so that their calls need not wait
+        for a link to an exchange that accepts no new calls."""
         for link in exchange.links.values():
             queued = [a for a in link.attempts if a.state is AttemptState.QUEUED]
             for attempt in sorted(queued, key=lambda a: a.call.ident):
                 self.attempts.end(attempt, i.Outcome.NOT_SENT)
 
     def is_usable(self, exchange: Exchange) -> bool:
+        """Whether links to an exchange may be kept: it is listed, and not this controller's own one in a mesh."""
         own = self.classes.settings.topology is i.Topology.MESH and exchange.number == self.classes.settings.own_number
         return exchange.state is not i.ListState.GONE and not own
 
     def send_release(self, exchange: Exchange, release: Release) -> None:
-        """Send the release of a call that stood on any open link, or keep it for the next one."""
-        # Guards against a write that is stuck: a link with nothing under way comes first.
-        up = [k for k in exchange.links.values() if k.up]
-        link = min(up, key=lambda k: bool(k.in_flight), default=None)
+        """Send a release on any open link, or keep it for the next link that comes up."""
+        # A write in progress may be stuck, so links without one come first.
+        up_links = [k for k in exchange.links.values() if k.up]
+        link = min(up_links, key=lambda k: bool(k.in_flight), default=None)
         if link is not None:
             self.writing.queue(link, release)
         elif exchange.state is not i.ListState.GONE:
             exchange.unsent_releases.append((self.core.now + EXCHANGE_RELEASE_TTL_US, release))
 
     def message_received(self, link: Link, message: Message) -> None:
+        """Handle a message of an exchange; a malformed one closes its link."""
         exchange = self.by_id[link.exchange_id]
         exchange.consecutive_failures = 0
         self.liveness.message_received(exchange, link)
@@ -154,42 +159,46 @@
         elif isinstance(message, HealthCheck):
             self.writing.queue(link, HealthCheckResult(message.call, True))
         elif not isinstance(message, Progress):
-            # No exchange sends it: a message came spoilt, and what is behind it is lost.
+            # No exchange sends this kind of message: one was corrupted, and what follows it on the link is lost.
             self.core.counters["garbled"] += 1
             self.writing.peer_done(link.ident, CloseReason.GARBLED)
 
     @staticmethod
     def is_truncated_answer(exchange: Exchange, link: Link, answer: Answer) -> bool:
-        """Whether an answer stopped short and goes on with the message behind it.
+        """Whether an answer was truncated, so that its description contains the message after it.
 
-        Guards against passing on a description that no exchange made: with the answer spoilt, its attempt ends as cut.
+        Without this check, a caller would get a description that no exchange has made. With it, the link is closed and
+        the attempt ends as cut.
         """
         calls = {answer.call, *exchange.standing_calls, *(attempt.call.ident for attempt in link.attempts)}
         return contains_message_header(answer.description, calls)
 
     def is_repeated_group_state(self, exchange: Exchange, link: Link, figures: Mapping[str, float]) -> bool:
-        """Whether a group state has been heard on another link already: it comes on each that is open.
+        """Whether a group state has already been received on another link: an exchange sends it on each open one.
 
-        Guards against circuits that are counted as free once more, after a call has been sent to them.
+        Without this check, the copy would count circuits as free again to which a call has been sent meanwhile.
         """
-        told = exchange.recent_group_states
-        while told and told[0].received_us < self.core.now - GROUP_STATE_SPREAD_US:
-            told.popleft()
-        for state in told:
+        recent = exchange.recent_group_states
+        while recent and recent[0].received_us < self.core.now - GROUP_STATE_SPREAD_US:
+            recent.popleft()
+        for state in recent:
             if link.ident not in state.links and state.figures == figures:
                 state.links.add(link.ident)
                 self.core.counters["group_states_copied"] += 1
                 return True
-        told.append(ReceivedGroupState(self.core.now, figures, {link.ident}))
+        recent.append(ReceivedGroupState(self.core.now, figures, {link.ident}))
         return False
 
     def pass_on_report(self, exchange: Exchange, figures: Mapping[str, float]) -> None:
+        """Report the load figures of an exchange to the decision module."""
         self.core.events.append(i.ExchangeReport(exchange.ident, True, False, 0, _load_report(figures)))
 
     def answer_received(self, exchange: Exchange, link: Link, answer: Answer, attempt: Attempt | None) -> None:
+        """Answer the call of an attempt, which stands from now on; without an attempt the answer is late."""
         if attempt is None:
-            # An answer to an attempt that was given up is released, not passed on. Where the same call has
-            # an attempt out or stands at this exchange, the give-up alone does that: a release would end it.
+            # The call of an answer to a given-up attempt is released at the exchange, not passed on. If the same call
+            # has another attempt or stands at this exchange, the earlier give-up releases it: a second release would
+            # end that attempt or call.
             self.core.counters["late_answers"] += 1
             call = self.calls.by_id.get(answer.call)
             at = None
@@ -214,20 +223,21 @@
             self.pass_on_report(exchange, answer.report)
 
     def at_address(self, address: tuple[str, int]) -> list[Exchange]:
-        """The exchanges of an address: one, but while the list holds one that has gone beside its successor."""
+        """The exchanges at an address: one, unless the list holds one that has gone together with its successor."""
         return [exchange for exchange in self.by_id.values() if exchange.address == address]
 
     def may_hold_call(self, exchange: Exchange, call: Call) -> bool:
-        """Whether a call stands at an exchange, or at another of the same address.
+        """Whether a call stands at an exchange, or at another one with the same address.
 
-        Guards against ends told on the links of an exchange that has gone, where another has its address and the list
-        still holds both: their links lead to one process, which takes any for its own.
+        While the list still holds an exchange that has gone, and the one that took over its address, the links to both
+        lead to one process, which may report an end on any of them.
         """
         if call.standing_exchange is None or call.standing_exchange == exchange.ident:
             return call.standing_exchange is not None
         return self.by_id[call.standing_exchange].address == exchange.address
 
     def release_received(self, exchange: Exchange, link: Link, release: Release, attempt: Attempt | None) -> None:
+        """End the attempt or the standing call that an exchange releases; any other release is late."""
         report = None if release.report is None else _load_report(release.report)
         call = self.calls.by_id.get(release.call)
         if attempt is not None:
@@ -235,8 +245,8 @@
             self.attempts.end(attempt, outcome, cause=CAUSE_BY_NOTE.get(release.note, i.Cause.NONE), report=report)
         elif call is not None and self.may_hold_call(exchange, call) and release.cause in CAUSES_OF_END:
             self.liveness.end_received(exchange, call)
-            over = release.cause == ReleaseCause.NORMAL
-            self.calls.end_standing(call, i.Outcome.RELEASED if over else i.Outcome.CUT, report)
+            is_normal = release.cause == ReleaseCause.NORMAL
+            self.calls.end_standing(call, i.Outcome.RELEASED if is_normal else i.Outcome.CUT, report)
             self.end_notices.send(call.caller_stream, Release(call.ident, release.cause))
             self.writing.queue(link, ReleaseConfirmed(call.ident))
         else:
@@ -244,10 +254,11 @@
                 self.core.events.append(i.ExchangeReport(exchange.ident, True, False, 0, report))
             self.core.counters["late_messages"] += 1
             if call is None and release.call not in self.calls.ended and release.cause in CAUSES_OF_END:
-                # The call stood before this program was started anew; its caller still has to hear.
+                # The call stood before this program was restarted; its caller must still get the release.
                 self.calls.remember_ended(release.call, True, True)
                 self.end_notices.send(0, Release(release.call, release.cause))
 
 
 def _load_report(figures: Mapping[str, float]) -> i.LoadReport:
+    """The figures of a message as the decision module takes them."""
     return read_report((REPORT_FIELDS.get(name), value) for name, value in figures.items())
--- a/latchturn/session/links.py
+++ b/latchturn/session/links.py
@@ -1,6 +1,6 @@
-"""Links to exchanges: which are kept, how they come up and how they are lost.
+"""Links to exchanges: which are kept open, how they come up and how they are lost.
 
-The one place where a link is given back is `lose`.
+`Links.remove` is the only place where a link leaves the tables.
 """
 
 from __future__ import annotations
@@ -16,27 +16,30 @@
 
 
 class Links(Component):
-    """Links to exchanges: which are kept, how they come up and how they are lost."""
+    """Opens links to exchanges, keeps some of them open, and clears up after lost ones."""
 
     def __init__(self) -> None:
         self.by_stream: dict[int, Link] = {}
-        self.next_stream_id = -1
+        self.next_stream_id = -1  # stream ids of links are negative, those of callers positive
 
     def drop_unresponsive(self, link: Link) -> None:
-        """Guards against a link that is open and of no further use: what is set up on it comes to nothing,
-        and the ends of the calls that stand there are told on the next link that is opened."""
+        """Close a link that is open but delivers no messages: set-ups on it would fail, and the exchange reports the
+        ends of its calls on the next link that is opened."""
         self.core.counters["links_mute"] += 1
         self.writing.drop(link, CloseReason.SILENT)
 
     def expect_on_other_links(self, exchange: Exchange, link: Link) -> None:
-        """A new group state has been heard on a link: it comes on all the others as well."""
+        """Note that all other links lack a group state just received on this one: the exchange sends it on each."""
         for other in exchange.links.values():
             if other is not link and other.up and not other.group_state_missing_since_us:
                 other.group_state_missing_since_us = self.core.now
 
     def ensure_kept_links(self, exchange: Exchange) -> None:
-        """Have links to every exchange that can be used, one after the other: group states come on open links
-        alone."""
+        """Connect the next missing kept link of a usable exchange, now or when its reconnect is due.
+
+        Links are opened one after the other. They are needed without calls too, since group states are sent only on
+        open links.
+        """
         slot = next((k for k in range(KEPT_LINKS) if k not in exchange.links or not exchange.links[k].up), KEPT_LINKS)
         if self.exchanges.is_usable(exchange) and slot < KEPT_LINKS and slot not in exchange.links:
             if self.core.now >= exchange.reconnect_due_us:
@@ -45,6 +48,7 @@
                 self.timers.set(exchange.reconnect_due_us - self.core.now, TimerKind.RECONNECT, exchange)
 
     def connect(self, exchange: Exchange, slot: int) -> Link:
+        """Open a link in a free slot; it is in the tables at once, and can be written to once it is up."""
         link = Link(self.next_stream_id, exchange_id=exchange.ident, slot=slot, connect_started_us=self.core.now)
         self.next_stream_id -= 1
         self.by_stream[link.ident] = exchange.links[slot] = link
@@ -52,23 +56,27 @@
         self.core.effects.append(Connect(link.ident, exchange.address, self.classes.settings.connect_timeout_us))
         return link
 
-    def partial_message_changed(self, link: Link, half: bool) -> None:
-        """Its input ends within a message, or does so no more."""
-        began = half and not link.partial_since_us
-        link.partial_since_us = (link.partial_since_us or self.core.now) if half else 0
+    def partial_message_changed(self, link: Link, partial: bool) -> None:
+        """Record whether the input of a link ends within a message, and limit how long that may last."""
+        began = partial and not link.partial_since_us
+        link.partial_since_us = (link.partial_since_us or self.core.now) if partial else 0
         if began:
             self.timers.set(LINK_PARTIAL_TIMEOUT_US, TimerKind.HALF_READ, link)
 
     def partial_message_timeout(self, link: Link) -> None:
-        """Guards the set-ups that would follow onto a link on which nothing more can be read."""
-        left = link.partial_since_us + LINK_PARTIAL_TIMEOUT_US - self.core.now
-        if left <= 0:
+        """Close a link whose message has stayed partial for too long: set-ups on it would get no answer.
+
+        If a new partial message has begun since the timer was set, wait for the rest of its time.
+        """
+        left_us = link.partial_since_us + LINK_PARTIAL_TIMEOUT_US - self.core.now
+        if left_us <= 0:
             self.core.counters["links_half_read"] += 1
             self.writing.drop(link, CloseReason.HALF_READ)
         else:
-            self.timers.set(left, TimerKind.HALF_READ, link)
+            self.timers.set(left_us, TimerKind.HALF_READ, link)
 
     def connected(self, stream: int) -> None:
+        """Take a link into use that has come up, and send the releases that have waited for one."""
         link = self.by_stream.get(stream)
         if link is None:
             self.core.effects.append(Close(stream))
@@ -78,13 +86,14 @@
         link.up_since_us = self.core.now
         exchange = self.exchanges.by_id[link.exchange_id]
         self.liveness.link_connected(exchange)
-        unsent, exchange.unsent_releases = exchange.unsent_releases, []
-        for _, release in unsent:
+        releases, exchange.unsent_releases = exchange.unsent_releases, []
+        for _, release in releases:
             self.writing.queue(link, release)
         self.writing.ready[link.ident] = link
         self.ensure_kept_links(exchange)
 
     def connect_failed(self, stream: int, refused: bool) -> None:
+        """Remove a link that did not come up, refused by the exchange or timed out."""
         link = self.by_stream.get(stream)
         if link is None:
             return
@@ -95,7 +104,7 @@
         self.liveness.connect_failed(exchange, link, refused)
 
     def remove(self, link: Link, reason: CloseReason) -> None:
-        """The link is closed, and with that the set-ups on it are given up."""
+        """Take a closed link out of the tables; its attempts end or move to another link."""
         exchange = self.exchanges.by_id[link.exchange_id]
         link.change_state(StreamTransition.CLOSE)
         del self.by_stream[link.ident]
@@ -107,8 +116,8 @@
                 and attempt.link_changes < MAX_ATTEMPT_MOVES
                 and self.exchanges.is_usable(exchange)
             ):
-                # Guards against taking the reset of a new or idle link for a dead exchange: nothing has left,
-                # so the attempt goes on over another link.
+                # Nothing of the attempt was written, so it moves to another link. Without this, the reset of a new or
+                # idle link would fail the attempt as if the exchange were dead.
                 attempt.link_changes += 1
                 attempt.link = exchange.links.get(link.slot) or self.connect(exchange, link.slot)
                 attempt.link.attempts.add(attempt)
@@ -122,10 +131,10 @@
             self.exchanges.send_release(exchange, release)
         if link.up_since_us:
             self.missed_ends.link_lost(exchange, link, reason)
-        # The first reconnect follows at once: a refusal tells at once that the process has died.
-        pause = 0
+        # The first reconnect follows at once: if the process has died, its refusal shows that without delay.
+        pause_us = 0
         if exchange.consecutive_failures:
-            pause = min(RECONNECT_MAX_US, RECONNECT_MIN_US << min(exchange.consecutive_failures, 10))
+            pause_us = min(RECONNECT_MAX_US, RECONNECT_MIN_US << min(exchange.consecutive_failures, 10))
         exchange.consecutive_failures += 1
-        exchange.reconnect_due_us = self.core.now + int(pause * self.core.random.uniform(0.5, 1.0))
+        exchange.reconnect_due_us = self.core.now + int(pause_us * self.core.random.uniform(0.5, 1.0))
         self.ensure_kept_links(exchange)
--- a/latchturn/session/state.py
+++ b/latchturn/session/state.py
@@ -172,9 +172,7 @@
     last_reset_us: int = 0  # when it last reset a link
     all_links_reset_us: int = 0  # when it reset all its links after a silence, 0 once the consequence is decided
     received_before_reset_us: int = 0  # latest message before that reset
-    initial_messages_lost_us: int = (
-        0  # when the latest of the links came up that were lost before their initial messages
-    )
+    initial_messages_lost_us: int = 0  # when the latest link came up that was lost without its initial messages
     recovery_due_us: int = 0  # when a recovery link is to be opened, 0 if none is
     consecutive_failures: int = 0  # links lost or not connected in a row, without a message between them
     reconnect_due_us: int = 0  # earliest time of the next connect of a kept link
