--- a/latchturn/session/channel.py
+++ b/latchturn/session/channel.py
@@ -1,4 +1,4 @@
-"""The command channel: when it is asked again, and for what."""
+"""The command channel: when a connection to discovery is opened, given up and replaced."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 
 class Channel(Component):
-    """The command channel: when it is asked again, and for what.
+    """Keeps a connection to the command channel and asks there for the events after the last one applied.
 
-    A change counts as told 6 s after discovery has it and can be reached, whatever came of earlier calls. So a
-    connection that tells nothing is given up before that, but with more patience after each that told nothing: a
-    crowded discovery that answers late would else never be heard.
+    A list change counts as received 6 s after a reachable discovery has it, whatever became of earlier connections. So
+    a connection that delivers nothing is given up before that. The time limits grow with each such connection in a row:
+    otherwise an overloaded discovery that answers late would never get to deliver anything.
     """
 
     def __init__(self) -> None:
-        self.cursor = 0  # number of the last event that was taken in
+        self.cursor = 0  # number of the last event applied
         self.address = ("", 0)
-        self.connect_count = 0
-        self.silent_connections = 0  # connections to it in a row that told nothing
-        self.last_received_us = 0
-        self.has_answered = False  # whether the connection asked for last has told anything
+        self.connect_count = 0  # by which a timer for an earlier connection is recognized
+        self.silent_connections = 0  # connections in a row that have delivered nothing
+        self.last_received_us = 0  # latest frame, or the start of the latest connect
+        self.has_answered = False  # whether the latest connection has delivered a frame
 
     def connect(self, channel: tuple[str, int]) -> None:
-        """Ask the command channel for what follows the last event taken in, at once."""
+        """Connect at once, in place of any earlier connection, and ask for the events after the last one applied."""
         self.address = channel
         self.connect_count += 1
         self.has_answered = False
@@ -43,40 +43,45 @@
         self.core.effects.append(ConnectChannel(channel, self.cursor, timeout_us))
 
     def change_address(self, channel: tuple[str, int]) -> None:
-        """A new configuration names an address: another one is asked at once.
+        """Connect to the address of a new configuration at once, if it differs.
 
-        Guards against configurations in quick succession, each of which would end a connection to the same one
-        before it has told anything.
+        Without the comparison, configurations in quick succession would each end the connection to the same address
+        before it has delivered anything.
         """
         if channel != self.address:
             self.silent_connections = 0
             self.connect(channel)
 
     def _grown_timeout(self, first_us: int, most_us: int) -> int:
-        """A time limit, grown with the connections that told nothing."""
+        """A time limit, grown with the connections in a row that have delivered nothing."""
         return min(most_us, int(first_us * CHANNEL_TIMEOUT_GROWTH ** min(self.silent_connections, 10)))
 
     def frame_received(self, number: int) -> None:
-        """A frame has come, empty or not."""
+        """Record a frame with events or an empty one."""
         if not self.has_answered:
             self.core.note(
-                TraceEvent.CHANNEL_ANSWERED, reason=f"event {number}, after {self.silent_connections} that told nothing"
+                TraceEvent.CHANNEL_ANSWERED,
+                reason=f"event {number}, after {self.silent_connections} connections without a frame",
             )
         self.has_answered, self.silent_connections, self.last_received_us = True, 0, self.core.now
 
     def check(self) -> None:
-        """Now and then: give up a connection that has fallen silent."""
+        """Replace a connection that has been silent for too long; called by each sweep."""
         if self.core.now - self.last_received_us <= self._grown_timeout(CHANNEL_SILENCE_US, CHANNEL_SILENCE_MAX_US):
             return
         self.core.counters["channel_silent"] += 1
-        self.core.note(TraceEvent.CHANNEL_LOST, reason=f"silent; {self.silent_connections} before it told nothing")
+        self.core.note(
+            TraceEvent.CHANNEL_LOST, reason=f"silent, after {self.silent_connections} connections without a frame"
+        )
         self.silent_connections += not self.has_answered
         self.connect(self.address)
 
     def connection_lost(self, reason: str) -> None:
-        """The connection is no more. The first new one is asked for at once."""
+        """Schedule the next connect after a lost connection: at once after the first loss, else after a pause."""
         self.core.counters["channel_reconnects"] += 1
-        self.core.note(TraceEvent.CHANNEL_LOST, reason=f"{reason}; {self.silent_connections} before it told nothing")
-        pause = CHANNEL_RECONNECT_PAUSE_US if self.silent_connections else 0
+        self.core.note(
+            TraceEvent.CHANNEL_LOST, reason=f"{reason}, after {self.silent_connections} connections without a frame"
+        )
+        pause_us = CHANNEL_RECONNECT_PAUSE_US if self.silent_connections else 0
         self.silent_connections += 1
-        self.timers.set(int(pause * self.core.random.uniform(0.5, 1.0)), TimerKind.CHANNEL, self.connect_count)
+        self.timers.set(int(pause_us * self.core.random.uniform(0.5, 1.0)), TimerKind.CHANNEL, self.connect_count)
--- a/latchturn/session/housekeeping.py
+++ b/latchturn/session/housekeeping.py
@@ -1,6 +1,6 @@
-"""Housekeeping: what is done every quarter of a second, each job a method of its own.
+"""Housekeeping: the periodic checks that run every `SWEEP_INTERVAL_US`, each in a method of its own.
 
-It owns no state but when it last ran. What it concludes of a peer belongs to the part that owns the peer.
+It owns no state except the time of the last sweep. Conclusions about a peer belong to the component that owns the peer.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 
 
 class Housekeeping(Component):
-    """Ends what has been silent or stuck for too long, and drops what is too old."""
+    """Closes connections that have been silent or stuck for too long, and drops expired records."""
 
     def __init__(self) -> None:
-        self.last_sweep_us = 0  # when it last ran
-        self.was_late = False  # whether that was late
+        self.last_sweep_us = 0  # 0 before the first
+        self.was_late = False  # whether the last sweep was late and therefore drew no conclusions
 
     def sweep(self) -> None:
-        """Do all jobs once, and again after `SWEEP_INTERVAL_US`."""
+        """Run all checks once, and schedule the next sweep."""
         self.timers.set(SWEEP_INTERVAL_US, TimerKind.SWEEP)
         on_time = self._is_on_time()
         self.channel.check()
@@ -50,34 +50,38 @@
         self._drop_expired()
 
     def _is_on_time(self) -> bool:
-        """Guards against a stop of this process that would be taken for the silence of all others: what they have
-        sent meanwhile lies unread. One late sweep draws no conclusions, the next one does."""
+        """Whether this sweep may conclude anything from the silence of peers.
+
+        After this process has been stopped for a time, messages that arrived meanwhile are still unread, and all peers
+        would seem silent. So a late sweep draws no conclusions; the sweep after it does, late or not.
+        """
         late = bool(self.last_sweep_us) and self.core.now - self.last_sweep_us > SWEEP_INTERVAL_US + MAX_SWEEP_DELAY_US
         self.last_sweep_us = self.core.now
         self.was_late = late and not self.was_late
         return not self.was_late
 
     def _check_releases(self, stream: Caller | Link) -> None:
-        """Send what is not confirmed another way, and forget what has arrived for all that is known."""
+        """Send unconfirmed releases on another connection, and drop those that are taken to have arrived."""
         if isinstance(stream, Caller):
             self.end_notices.send_again(stream)
         for ident in self.writing.settled_releases(stream):
             del stream.unconfirmed[ident]
 
     def _check_write(self, stream: Stream) -> None:
-        """Close a connection that has taken nothing in for too long."""
+        """Close a connection whose write has not completed within `WRITE_TIMEOUT_US`."""
         if stream.in_flight and self.core.now - stream.write_started_us > WRITE_TIMEOUT_US:
             self.writing.drop(stream, CloseReason.WRITE_STUCK)
 
     def _check_link(self, link: Link) -> None:
-        """Close a link that misses what other links of its exchange hear."""
+        """Close a link that does not receive what other links of its exchange receive, unless it is the last proof
+        link."""
         if not link.up or link.ident not in self.links.by_stream or self.liveness.is_last_proof_link(link):
             return
         if self._misses_group_states(link) or self._is_silent_beside_newer(link):
             self.links.drop_unresponsive(link)
 
     def _misses_group_states(self, link: Link) -> bool:
-        """Whether a link has missed a group state for some time, while others go on to hear."""
+        """Whether a link has lacked a group state for some time while other links of its exchange receive messages."""
         links = self.exchanges.by_id[link.exchange_id].links.values()
         return (
             bool(link.group_state_missing_since_us)
@@ -85,32 +89,32 @@
         )
 
     def _is_silent_beside_newer(self, link: Link) -> bool:
-        """Whether a link has never heard anything, while one that came up later has: exchanges speak first."""
+        """Whether a link has never received a message although a link that came up later has: exchanges send first."""
         links = self.exchanges.by_id[link.exchange_id].links.values()
         later = [k.first_received_us for k in links if k.up_since_us > link.up_since_us and k.first_received_us]
         return not link.last_received_us and bool(later) and self.core.now - min(later) > UNRESPONSIVE_US
 
     def _check_caller(self, caller: Caller) -> None:
-        """Close a connection whose message stays half read, or that has said nothing of use."""
+        """Close a connection whose message stays partial, or an idle one to which nothing has been sent in time."""
         caller.faults = max(0, caller.faults - FAULTS_FORGIVEN_PER_SWEEP)
         if caller.finishing:
             return
         if caller.partial_since_us and self.core.now - caller.partial_since_us > CALLER_PARTIAL_TIMEOUT_US:
-            self.callers.shut(caller, "its message stays half read")
+            self.callers.shut(caller, "its message stays incomplete")
         elif not caller.sent_anything and caller.idle and self.core.now - caller.accepted_us > FIRST_MESSAGE_TIMEOUT_US:
             self.core.counters["callers_silent"] += 1
             self.writing.drop(caller, CloseReason.SAID_NOTHING)
 
     def _drop_old_settings(self) -> None:
-        """The classes of the settings before count no more once their callers have given up."""
+        """Drop the call classes of the previous settings once the last caller that used them must have given up."""
         if self.classes.before and self.core.now > self.classes.before_until_us:
             self.classes.use(self.classes.read, None)
             self.core.events.append(i.SettingsChanged(self.classes.settings))
 
     def _drop_expired(self) -> None:
-        """Drop releases that no link came up for, and the ids of calls that ended long ago."""
+        """Drop the releases for which no link came up in time, and the ids of calls that ended long ago."""
         for exchange in self.exchanges.by_id.values():
             exchange.unsent_releases = [kept for kept in exchange.unsent_releases if kept[0] > self.core.now]
-        over = self.calls.ended
-        while over and (first := next(iter(over.items())))[1].remembered_until_us <= self.core.now:
-            del over[first[0]]
+        ended = self.calls.ended
+        while ended and (first := next(iter(ended.items())))[1].remembered_until_us <= self.core.now:
+            del ended[first[0]]
--- a/latchturn/session/phases.py
+++ b/latchturn/session/phases.py
@@ -1,4 +1,7 @@
-"""The phases of the program: start, drain, end, and replacement on both sides of it."""
+"""The phases of the program: start, drain, exit, and the replacement of one process by another.
+
+Decides when the program is ready, when it takes callers, which of their connections a drain closes, and when it exits.
+"""
 
 from __future__ import annotations
 
@@ -33,7 +36,7 @@
 
 
 class Phase(Enum):
-    """What the program is at, as the operators are told it."""
+    """The phase of the program as the admin listener reports it."""
 
     STARTING = "starting"
     SERVING = "serving"
@@ -42,35 +45,35 @@
 
 
 class Phases(Component):
-    """The phases of the program: start, drain, end, and replacement on both sides of it."""
+    """Keeps the phase of the program, and drains and ends it."""
 
     def __init__(self) -> None:
         self.state = PhaseState.OPEN
-        self.listening = False
-        self.replaces_predecessor = False  # another process serves until this one is ready
-        self.other_descriptors = 0  # descriptors, in the process before or after this one
-        self.other_calls = 0
+        self.listening = False  # whether the listener for callers serves
+        self.replaces_predecessor = False  # whether another process serves until this one is ready
+        self.other_descriptors = 0  # held by the preceding or the succeeding process
+        self.other_calls = 0  # held by that process
         self.started_us = 0
-        self.drain_since_us = 0  # since when it drains, else 0
-        self.drain_count = 0  # how often it has begun to
+        self.drain_since_us = 0  # 0 if no drain is in progress
+        self.drain_count = 0  # drains begun so far, by which timers of an earlier one are recognized
         self.refuse_from_us = math.inf  # from then on new set-ups are refused
-        self.force_close_from_us = math.inf  # from then on less is waited for
+        self.force_close_from_us = math.inf  # from then on a drain waits for fewer connections
         self.sigterm_us = 0  # when SIGTERM came
-        self.answer_all_by_us = 0  # when all that is open then is answered
-        self.exit_by_us = 0  # when the program ends at the latest
-        self.closing_since_us = 0  # since when connections are closed for the end, else 0
-        self.refuse_all = False
+        self.answer_all_by_us = 0  # when calls that are still open are failed after SIGTERM
+        self.exit_by_us = 0  # when the program exits at the latest
+        self.closing_since_us = 0  # since when connections are closed for the exit, else 0
+        self.refuse_all = False  # whether open calls have been failed for the exit and new set-ups are refused at once
 
     def change_state(self, transition: PhaseTransition) -> None:
-        """Go on to the next phase; InvalidTransition if the table has none."""
+        """Change to the next phase and record it; raises InvalidTransition if the table has none."""
         before, self.state = self.state, PHASE.next_state(self.state, transition)
         open_ = sum(call.standing_exchange is None for call in self.calls.by_id.values())
         text = f"{before.name} to {self.state.name} by {transition.name}: {len(self.callers.by_stream)} connections"
-        text += f", {open_} calls open, {len(self.calls.by_id) - open_} stand"
+        text += f", {open_} open calls, {len(self.calls.by_id) - open_} standing"
         self.core.note(TraceEvent.PHASE, reason=text)
 
     def is_work_done(self) -> bool:
-        """After SIGTERM: whether all that was taken is answered, and nothing new can come in."""
+        """After SIGTERM: whether all calls taken are answered, all messages written, and no new set-up can arrive."""
         since = self.core.now - self.sigterm_us
         busy = any(c.unanswered or c.outbox or c.in_flight for c in self.callers.by_stream.values())
         busy = busy or any(k.up and (k.outbox or k.in_flight) for k in self.links.by_stream.values())
@@ -81,17 +84,19 @@
         return since >= SIGTERM_GRACE_US and not busy
 
     def figures(self) -> dict[str, int]:
-        """Every figure as it is now: those of the operators' table, then the other counters."""
+        """All figures at present: first those of the fixed table of the admin listener, then the other counters."""
         names = [operations.class_figure_name(n, c) for c in self.classes.served for n in operations.CLASS_FIGURES]
         counted = ("forwards", "sighup_applied", "sighup_rejected")
         figures = {name: self.core.counters[name] for name in (*names, *counted)}
-        # Those that stand too: they have not ended. Two processes are one session controller.
+        # Standing calls count, since they have not ended. So do those of the other process: during a replacement two
+        # processes are one session controller.
         figures["outstanding"] = len(self.calls.by_id) + self.other_calls
         figures["discovered"] = len(self.exchanges.by_id)
         figures["ejected"] = self.decision_module.controller.backed_off(self.core.now)
         return figures | {name: n for name, n in sorted(self.core.counters.items()) if name not in figures}
 
     def handle_command(self, command: operations.Command | None) -> bytes:
+        """Carry out a command of the admin listener and return the encoded answer; None is an unknown command."""
         if command is operations.Command.PING:
             return operations.encode_answer(self.phase is Phase.SERVING, self.phase.value)
         if command is operations.Command.INFO:
@@ -111,7 +116,7 @@
 
     @property
     def phase(self) -> Phase:
-        """What the program is at: PING at the admin listener and the tests of callers' connections follow it."""
+        """The phase that PING at the admin listener reports; health checks on callers' connections depend on it too."""
         if self.state is not PhaseState.OPEN and self.state is not PhaseState.DRAINING:
             return Phase.ENDING
         if self.state is PhaseState.DRAINING:
@@ -119,7 +124,8 @@
         return Phase.SERVING if self.is_ready() else Phase.STARTING
 
     def is_ready(self) -> bool:
-        """Whether calls can be taken and sent: the listener serves and all groups are told, or should be."""
+        """Whether calls can be taken and sent: the listener serves, and each usable exchange has sent a group state or
+        cannot be reached, or `READY_TIMEOUT_US` has passed."""
         if not self.listening:
             return False
         if self.core.now - self.started_us >= READY_TIMEOUT_US:
@@ -130,8 +136,9 @@
         )
 
     def start_drain(self, refuse_from_us: float, force_close_from_us: float) -> None:
-        """Send all callers away, each once nothing of its is open. New set-ups are refused from a moment on;
-        from another, less is waited for."""
+        """Begin to close the connections of all callers, each once it has no open call. New set-ups are refused from
+        one time on. From the other, a connection is closed even if it is new or has a partial message, and with a
+        successor also if its calls stand."""
         self.drain_since_us, self.refuse_from_us, self.force_close_from_us = (
             self.core.now,
             refuse_from_us,
@@ -141,55 +148,65 @@
         self.timers.set(DRAIN_INTERVAL_US, TimerKind.DRAIN, self.drain_count)
 
     def stop_drain(self) -> None:
+        """End a drain: connections stay open and set-ups are taken again."""
         self.drain_since_us, self.refuse_from_us = 0, math.inf
 
     def close_drained(self) -> None:
-        """Guards the calls that cross a close: a connection is closed only with nothing open or unread."""
+        """One step of a drain: close the connections of callers that are idle.
+
+        A connection is closed only if it has no open call and no unread input, so that no set-up crosses the close.
+        """
         if not self.drain_since_us:
             return
         self.timers.set(DRAIN_INTERVAL_US, TimerKind.DRAIN, self.drain_count)
         if self.core.now - self.drain_since_us < DRAIN_MIN_OPEN_US and not self.has_successor:
             return
         patient = self.core.now < self.force_close_from_us
-        # Ends of calls that stand are owed within 1 s, and no other connection may come for them: theirs stay until
-        # these are told, and new set-ups on them are refused. A successor hears of the ends and passes them on.
+        # The end of a standing call must reach its caller within 1 s, and the caller may not connect again. So these
+        # connections stay open until the calls have ended, and new set-ups on them are refused. With a successor they
+        # are closed too once `force_close_from_us` has come: exchanges report the ends to it, and it passes them on.
         needed = {call.caller_stream for call in self.calls.by_id.values()}
         for caller in self.callers.by_stream.values():
-            speaks = patient and (caller.partial_since_us or self.core.now - caller.accepted_us < DRAIN_MIN_OPEN_US)
-            needs = caller.ident in needed and (patient or not self.has_successor)
-            if caller.idle and not caller.finishing and not speaks and not needs:
+            may_be_sending = patient and (
+                caller.partial_since_us or self.core.now - caller.accepted_us < DRAIN_MIN_OPEN_US
+            )
+            is_needed = caller.ident in needed and (patient or not self.has_successor)
+            if caller.idle and not caller.finishing and not may_be_sending and not is_needed:
                 caller.close_reason = CloseReason.DRAINED
                 self.core.effects.append(CloseIdle(caller.ident))
 
     def successor_changed(self, serves: bool) -> None:
-        """A successor serves at the address, or does so no more."""
+        """Hand over to a successor that serves at the address, or take callers again if it has gone."""
         self.change_state(PhaseTransition.SUCCEED if serves else PhaseTransition.RESUME)
         if self.sigterm_us and not serves:
             return
         self.core.effects.append(AcceptCallers(not serves))
         if serves:
-            self.core.log(f"succeeded: {len(self.callers.by_stream)} connections, {len(self.calls.by_id)} calls")
+            self.core.log(
+                f"a successor serves: {len(self.callers.by_stream)} connections, {len(self.calls.by_id)} calls"
+            )
             self.start_drain(math.inf, math.inf)
             self.limit_drain_by_sigterm()
         else:
-            self.core.log("the successor has gone: this process takes callers again")
+            self.core.log("the successor has gone: this process accepts callers again")
             self.stop_drain()
 
     def listener_ready(self) -> None:
-        """The listener serves."""
+        """The listener serves: accept callers, unless another process still does."""
         self.listening = True
         if not self.replaces_predecessor:
             self.core.effects.append(AcceptCallers(True))
 
     def terminate(self) -> None:
-        """SIGTERM: say by when all that is open is answered."""
+        """SIGTERM: fix the times by which all open calls are answered and the program exits."""
         self.change_state(PhaseTransition.TERMINATE)
         if self.sigterm_us:
             return
         self.sigterm_us = self.core.now
         kill = min(self.longest_wait_us(), SIGTERM_MAX_WAIT_US) + SIGTERM_GRACE_US
         last = kill - SIGTERM_ANSWER_MARGIN_US
-        # Guards what comes in the first 0.7 s where waits are so short that `last` lies before its end.
+        # Set-ups may arrive for 0.7 s. If the callers' waits are so short that `last` comes before the end of that, the
+        # program still stays to answer them.
         end = max(last + SIGTERM_FLUSH_US, min(SIGTERM_GRACE_US, kill - SIGKILL_MARGIN_US))
         self.answer_all_by_us, self.exit_by_us = self.core.now + last, self.core.now + end
         for after in (SIGTERM_GRACE_US, last, end):
@@ -197,24 +214,28 @@
         self.limit_drain_by_sigterm()
 
     def longest_wait_us(self) -> int:
-        """The longest wait of a caller, by which SIGKILL may come; the lesser one if settings have changed lately."""
+        """The longest wait of a caller, after which SIGKILL may follow SIGTERM.
+
+        If the settings have changed lately, it is the shorter one of the old and the new settings.
+        """
         waits = [max(c.give_up_us for c in self.classes.read.classes)]
         if self.classes.before:
             waits.append(max(c.give_up_us for c in self.classes.before.values()))
         return min(waits)
 
     def sigterm_timer_due(self) -> None:
-        """Guards against calls that the end of the program would leave without an answer."""
+        """Fail the calls that are still open when their time after SIGTERM is over: the exit would leave them without
+        an answer."""
         if self.core.now >= self.answer_all_by_us and not self.refuse_all:
             self.refuse_all = True
             for call in [c for c in self.calls.by_id.values() if c.standing_exchange is None]:
                 self.calls.fail(call, "the program ends")
 
     def advance(self) -> None:
-        """At the end of each step: take over once ready, end once all is done."""
+        """Take over from the preceding process once ready, and exit once all is done; called at the end of a step."""
         if self.replaces_predecessor and not self.sigterm_us and self.is_ready():
             self.replaces_predecessor = False
-            self.core.log("ready: this process takes over")
+            self.core.log("ready: this process takes over from the preceding one")
             self.core.effects.append(AcceptCallers(True))
         if self.sigterm_us and self.state is not PhaseState.EXITED and self.close_for_exit():
             if self.has_successor:
@@ -224,9 +245,11 @@
             self.core.effects.append(Exit())
 
     def close_for_exit(self) -> bool:
-        """Whether the program can end. Guards set-ups that callers go on sending on open connections: each is closed
-        by itself, with nothing unread; what comes until then is refused at once, and what crosses the close is sent
-        once more."""
+        """Close the connections of callers for the exit; whether the program can exit now.
+
+        Callers may go on sending set-ups on open connections. So each connection is closed only when it has no unread
+        input; set-ups that arrive until then are refused at once, and callers repeat those that cross the close.
+        """
         if not self.closing_since_us:
             if not self.is_work_done():
                 return False
@@ -239,7 +262,7 @@
         return not self.callers.by_stream or self.core.now >= min(late_us, self.exit_by_us + SIGTERM_CLOSE_INTERVAL_US)
 
     def close_idle_for_exit(self) -> None:
-        """Close the connections of callers on which nothing is owed, for the end."""
+        """Close the idle connections of callers for the exit."""
         if self.state is PhaseState.EXITED:
             return
         self.timers.set(SIGTERM_CLOSE_INTERVAL_US, TimerKind.CLOSE)
@@ -254,13 +277,14 @@
         return self.state is PhaseState.SUCCEEDED or self.state is PhaseState.SUCCEEDED_ENDING
 
     def limit_drain_by_sigterm(self) -> None:
-        """Where there is a successor, all connections are to be closed before SIGKILL may come."""
+        """Set the times of the drain after SIGTERM with a successor: all connections must be closed before SIGKILL."""
         if self.sigterm_us and self.has_successor:
             span = self.answer_all_by_us - self.sigterm_us
             self.force_close_from_us = self.sigterm_us + SUCCEEDED_FORCE_CLOSE_SHARE * span
             self.refuse_from_us = self.sigterm_us + SUCCEEDED_REFUSE_SHARE * span
 
     def start(self, known: Iterable[ListUpdate], cursor: int) -> None:
+        """Set the first timers and apply the list updates of the configuration, which end with event `cursor`."""
         self.started_us = self.core.now
         self.timers.set(READY_TIMEOUT_US, TimerKind.READY)
         self.timers.set(SWEEP_INTERVAL_US, TimerKind.SWEEP)
