--- a/latchturn/session/machines.py
+++ b/latchturn/session/machines.py
@@ -1,9 +1,9 @@
-"""The explicit machines: the attempt, the call, the connection and the phase, each as one table.
+"""The state machines of the reducer: attempt, call, connection and phase, each as one transition table.
 
-A table says for each state and each move either where it goes or why the move cannot be. It has no state of
-its own and no clock; who holds a state asks `go` for the next one. A move that cannot be is an
-`InvalidTransition`: the reducer counts and logs it as a fault of its own and fails the call that met it; it is
-never passed over.
+A table gives for each pair of a state and a transition either the next state or the reason why the transition cannot
+occur in that state. It holds no state and knows no time: the owner of a state asks `Machine.next_state`. A transition
+that cannot occur raises `InvalidTransition`. The reducer counts and logs that as an internal error and fails the call
+concerned; it is never ignored.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class InvalidTransition(RuntimeError):
-    """A move that the table says cannot be, and why it thought so."""
+    """A transition that cannot occur in its state; the message has the reason that the table gives."""
 
 
 S = TypeVar("S", bound=IntEnum)
@@ -22,8 +22,8 @@
 
 
 class Machine(Generic[S, M]):
-    """One table. `moves` gives the next state, `never` the reason why a move cannot come; ValueError if the
-    two together do not name each pair just once."""
+    """One transition table: `next_states` has the next state of each pair that can occur, `impossible` the reason for
+    each other pair. ValueError if a pair is in neither or in both."""
 
     def __init__(
         self, name: str, states: type[S], transition_kinds: type[M], next_states: Mapping[tuple[S, M], S],
@@ -31,14 +31,14 @@
     ) -> None:  # fmt: skip
         pairs = {(s, m) for s in states for m in transition_kinds}
         if next_states.keys() & impossible.keys() or next_states.keys() | impossible.keys() != pairs:
-            raise ValueError(f"the table of {name} does not name each pair just once")
+            raise ValueError(f"the table of {name} does not list each pair of state and transition exactly once")
         self.name = name
         self.states, self.transition_kinds = states, transition_kinds
         self.impossible = dict(impossible)
         self._rows = tuple(tuple(next_states.get((s, m)) for m in transition_kinds) for s in states)
 
     def next_state(self, state: S, transition: M) -> S:
-        """The state after a move; InvalidTransition if it cannot be."""
+        """The state after a transition; InvalidTransition if that cannot occur in this state."""
         after = self._rows[state][transition]
         if after is None:
             raise InvalidTransition(
@@ -47,20 +47,20 @@
         return after
 
 
-# --- an attempt: a set-up on its way to an exchange, or waiting there for its answer ---
+# --- attempt: a set-up on its way to an exchange, or waiting there for its answer ---
 
 
 class AttemptState(IntEnum):
-    QUEUED = 0  # nothing of it has left
-    SENDING = 1  # its bytes have begun to leave
-    OUT = 2  # wholly written
+    QUEUED = 0  # nothing written yet
+    SENDING = 1  # being written
+    OUT = 2  # completely written, waiting for the answer
     GIVING_UP = 3  # timed out, its give-up is about to be written
-    OVER = 4
+    OVER = 4  # ended
 
 
 class AttemptTransition(IntEnum):
-    LEAVE = 0  # its set-up is handed over for writing
-    WRITTEN = 1  # the write is through
+    LEAVE = 0  # its write begins
+    WRITTEN = 1  # its write is complete
     TIME_OUT = 2
     END = 3  # answered, refused, cut, cancelled or given up
 
@@ -73,38 +73,38 @@
         (_A.SENDING, _AT.WRITTEN): _A.OUT, (_A.SENDING, _AT.TIME_OUT): _A.GIVING_UP,
         (_A.SENDING, _AT.END): _A.OVER,
         (_A.OUT, _AT.TIME_OUT): _A.GIVING_UP, (_A.OUT, _AT.END): _A.OVER,
-        # The give-up waits behind the set-up on the same connection.
+        # The give-up is written after the set-up, on the same connection.
         (_A.GIVING_UP, _AT.WRITTEN): _A.GIVING_UP, (_A.GIVING_UP, _AT.END): _A.OVER,
-        # Cancelled while its bytes were on their way: that they are through changes nothing any more.
+        # Cancelled during its write: the completion changes nothing any more.
         (_A.OVER, _AT.WRITTEN): _A.OVER,
     },
     {
-        (_A.QUEUED, _AT.WRITTEN): "what has not begun to leave cannot be through",
-        (_A.QUEUED, _AT.TIME_OUT): "an attempt that never left ends at once, there is nothing to give up",
+        (_A.QUEUED, _AT.WRITTEN): "a write that has not begun cannot be complete",
+        (_A.QUEUED, _AT.TIME_OUT): "an unwritten attempt ends at its time-out, since there is nothing to give up",
         (_A.SENDING, _AT.LEAVE): "a set-up leaves once",
         (_A.OUT, _AT.LEAVE): "a set-up leaves once",
-        (_A.OUT, _AT.WRITTEN): "a write is through once",
-        (_A.GIVING_UP, _AT.LEAVE): "what is given up has left before",
-        (_A.GIVING_UP, _AT.TIME_OUT): "its one timer has run",
-        (_A.OVER, _AT.LEAVE): "what is over is taken off its connection as that is written",
-        (_A.OVER, _AT.TIME_OUT): "its timer is dropped as it ends",
-        (_A.OVER, _AT.END): "an attempt is taken off its call as it ends",
+        (_A.OUT, _AT.WRITTEN): "the write of a set-up completes once",
+        (_A.GIVING_UP, _AT.LEAVE): "an attempt that is given up has been written before",
+        (_A.GIVING_UP, _AT.TIME_OUT): "the only timer of the attempt has already expired",
+        (_A.OVER, _AT.LEAVE): "an ended attempt is dropped from the outbox when that is written",
+        (_A.OVER, _AT.TIME_OUT): "the timer of an attempt is cancelled when it ends",
+        (_A.OVER, _AT.END): "an attempt is removed from its call when it ends",
     },
 )  # fmt: skip
 
 
-# --- a call ---
+# --- call ---
 
 
 class CallState(IntEnum):
-    OWED = 0  # it has had no final answer
-    STANDING = 1
-    OVER = 2
+    OWED = 0  # without a final answer
+    STANDING = 1  # answered and not ended
+    OVER = 2  # refused, failed, abandoned or ended
 
 
 class CallTransition(IntEnum):
-    ANSWER = 0  # it stands from now on
-    FORGET = 1  # refused, failed, given up or at its end
+    ANSWER = 0  # answered
+    FORGET = 1  # removed from the table: refused, failed, abandoned or ended
 
 
 _C, _CT = CallState, CallTransition
@@ -115,20 +115,20 @@
         (_C.STANDING, _CT.FORGET): _C.OVER,
     },
     {
-        (_C.STANDING, _CT.ANSWER): "a call that stands has no attempt out that could be answered",
-        (_C.OVER, _CT.ANSWER): "the attempt of a call that is over has ended with it",
-        (_C.OVER, _CT.FORGET): "a call is taken out of the table once",
+        (_C.STANDING, _CT.ANSWER): "a standing call has no outstanding attempt that could be answered",
+        (_C.OVER, _CT.ANSWER): "the attempt of a call ends with the call, so none can be answered afterwards",
+        (_C.OVER, _CT.FORGET): "a call is removed from the table once",
     },
 )  # fmt: skip
 
 
-# --- a connection, a caller's or a link to an exchange ---
+# --- connection: of a caller, or a link to an exchange ---
 
 
 class StreamState(IntEnum):
     CONNECTING = 0
     UP = 1
-    FINISHING = 2  # nothing more is taken from it; it closes once all that it is owed is written
+    FINISHING = 2  # its input is no longer read; it closes once all pending answers are written
     CLOSED = 3
 
 
@@ -144,44 +144,44 @@
     {
         (_S.CONNECTING, _ST.CONNECTED): _S.UP, (_S.CONNECTING, _ST.CLOSE): _S.CLOSED,
         (_S.UP, _ST.FINISH): _S.FINISHING, (_S.UP, _ST.CLOSE): _S.CLOSED,
-        # Its peer ends after we have shut it, or the other way round.
+        # Both this side and the peer end the connection, in either order.
         (_S.FINISHING, _ST.FINISH): _S.FINISHING, (_S.FINISHING, _ST.CLOSE): _S.CLOSED,
     },
     {
-        (_S.CONNECTING, _ST.FINISH): "callers' connections come as connected, and links are closed at once",
+        (_S.CONNECTING, _ST.FINISH): "connections of callers are up when accepted, and links are closed at once",
         (_S.UP, _ST.CONNECTED): "a connect succeeds once",
-        (_S.FINISHING, _ST.CONNECTED): "callers' connections come as connected",
-        (_S.CLOSED, _ST.CONNECTED): "what is closed is out of the table",
-        (_S.CLOSED, _ST.FINISH): "what is closed is out of the table",
-        (_S.CLOSED, _ST.CLOSE): "a connection leaves its table once",
+        (_S.FINISHING, _ST.CONNECTED): "connections of callers are up when accepted",
+        (_S.CLOSED, _ST.CONNECTED): "a closed connection is no longer in its table",
+        (_S.CLOSED, _ST.FINISH): "a closed connection is no longer in its table",
+        (_S.CLOSED, _ST.CLOSE): "a connection is removed from its table once",
     },
 )  # fmt: skip
 
 
-# --- the phase of the program ---
+# --- phase of the program ---
 
 
 class PhaseState(IntEnum):
-    OPEN = 0  # starting or serving, as the groups have been told
+    OPEN = 0  # starting, or serving once the group states have arrived
     DRAINING = 1
     SUCCEEDED = 2  # a successor serves at the address
-    ENDING = 3  # SIGTERM has come
-    SUCCEEDED_ENDING = 4  # both
+    ENDING = 3  # SIGTERM received
+    SUCCEEDED_ENDING = 4  # a successor serves, and SIGTERM received
     EXITED = 5
 
 
 class PhaseTransition(IntEnum):
-    DRAIN = 0
-    REJOIN = 1
-    SUCCEED = 2
+    DRAIN = 0  # LAMEDUCK at the admin listener
+    REJOIN = 1  # REJOIN at the admin listener
+    SUCCEED = 2  # a successor serves
     RESUME = 3  # the successor has gone
-    TERMINATE = 4
+    TERMINATE = 4  # SIGTERM
     EXIT = 5
 
 
 _P, _PT = PhaseState, PhaseTransition
-_ADMIN_REFUSED = "no operator is obeyed any more: the answer is no"
-_NO_SIGTERM = "the program ends after SIGTERM alone"
+_ADMIN_REFUSED = "commands to drain and to rejoin are refused in this phase"
+_NO_SIGTERM = "the program exits only after SIGTERM"
 PHASE = Machine(
     "phase", PhaseState, PhaseTransition,
     {
@@ -196,7 +196,7 @@
         (_P.ENDING, _PT.SUCCEED): _P.SUCCEEDED_ENDING, (_P.ENDING, _PT.RESUME): _P.ENDING,
         (_P.ENDING, _PT.TERMINATE): _P.ENDING, (_P.ENDING, _PT.EXIT): _P.EXITED,
         (_P.SUCCEEDED_ENDING, _PT.SUCCEED): _P.SUCCEEDED_ENDING,
-        # It was told to end: it does not take callers again, and bequeaths all the same.
+        # It is ending: it accepts no callers again, and still hands its standing calls over.
         (_P.SUCCEEDED_ENDING, _PT.RESUME): _P.SUCCEEDED_ENDING,
         (_P.SUCCEEDED_ENDING, _PT.TERMINATE): _P.SUCCEEDED_ENDING,
         (_P.SUCCEEDED_ENDING, _PT.EXIT): _P.EXITED,
@@ -209,7 +209,7 @@
         (_P.ENDING, _PT.DRAIN): _ADMIN_REFUSED, (_P.ENDING, _PT.REJOIN): _ADMIN_REFUSED,
         (_P.SUCCEEDED_ENDING, _PT.DRAIN): _ADMIN_REFUSED, (_P.SUCCEEDED_ENDING, _PT.REJOIN): _ADMIN_REFUSED,
         (_P.EXITED, _PT.DRAIN): _ADMIN_REFUSED, (_P.EXITED, _PT.REJOIN): _ADMIN_REFUSED,
-        (_P.EXITED, _PT.EXIT): "it ends once",
+        (_P.EXITED, _PT.EXIT): "the program exits once",
     },
 )  # fmt: skip
 MACHINES: tuple[Machine[IntEnum, IntEnum], ...] = (ATTEMPT, CALL, STREAM, PHASE)  # type: ignore[assignment]
--- a/latchturn/session/phases.py
+++ b/latchturn/session/phases.py
@@ -74,14 +74,14 @@
 
     def is_work_done(self) -> bool:
         """After SIGTERM: whether all calls taken are answered, all messages written, and no new set-up can arrive."""
-        since = self.core.now - self.sigterm_us
+        since_sigterm_us = self.core.now - self.sigterm_us
         busy = any(c.unanswered or c.outbox or c.in_flight for c in self.callers.by_stream.values())
         busy = busy or any(k.up and (k.outbox or k.in_flight) for k in self.links.by_stream.values())
         if self.core.now >= self.exit_by_us:
             return True
         if self.has_successor:
             return not self.callers.by_stream and not busy
-        return since >= SIGTERM_GRACE_US and not busy
+        return since_sigterm_us >= SIGTERM_GRACE_US and not busy
 
     def figures(self) -> dict[str, int]:
         """All figures at present: first those of the fixed table of the admin listener, then the other counters."""
@@ -203,14 +203,16 @@
         if self.sigterm_us:
             return
         self.sigterm_us = self.core.now
-        kill = min(self.longest_wait_us(), SIGTERM_MAX_WAIT_US) + SIGTERM_GRACE_US
-        last = kill - SIGTERM_ANSWER_MARGIN_US
-        # Set-ups may arrive for 0.7 s. If the callers' waits are so short that `last` comes before the end of that, the
-        # program still stays to answer them.
-        end = max(last + SIGTERM_FLUSH_US, min(SIGTERM_GRACE_US, kill - SIGKILL_MARGIN_US))
-        self.answer_all_by_us, self.exit_by_us = self.core.now + last, self.core.now + end
-        for after in (SIGTERM_GRACE_US, last, end):
-            self.timers.set(after, TimerKind.TERM)
+        kill_after_us = min(self.longest_wait_us(), SIGTERM_MAX_WAIT_US) + SIGTERM_GRACE_US
+        answer_after_us = kill_after_us - SIGTERM_ANSWER_MARGIN_US
+        # Set-ups may arrive for 0.7 s. The program stays to answer them even if the callers' waits are so short that
+        # `answer_after_us` is less than that.
+        exit_after_us = max(
+            answer_after_us + SIGTERM_FLUSH_US, min(SIGTERM_GRACE_US, kill_after_us - SIGKILL_MARGIN_US)
+        )
+        self.answer_all_by_us, self.exit_by_us = self.core.now + answer_after_us, self.core.now + exit_after_us
+        for after_us in (SIGTERM_GRACE_US, answer_after_us, exit_after_us):
+            self.timers.set(after_us, TimerKind.TERM)
         self.limit_drain_by_sigterm()
 
     def longest_wait_us(self) -> int:
@@ -279,9 +281,9 @@
     def limit_drain_by_sigterm(self) -> None:
         """Set the times of the drain after SIGTERM with a successor: all connections must be closed before SIGKILL."""
         if self.sigterm_us and self.has_successor:
-            span = self.answer_all_by_us - self.sigterm_us
-            self.force_close_from_us = self.sigterm_us + SUCCEEDED_FORCE_CLOSE_SHARE * span
-            self.refuse_from_us = self.sigterm_us + SUCCEEDED_REFUSE_SHARE * span
+            span_us = self.answer_all_by_us - self.sigterm_us
+            self.force_close_from_us = self.sigterm_us + SUCCEEDED_FORCE_CLOSE_SHARE * span_us
+            self.refuse_from_us = self.sigterm_us + SUCCEEDED_REFUSE_SHARE * span_us
 
     def start(self, known: Iterable[ListUpdate], cursor: int) -> None:
         """Set the first timers and apply the list updates of the configuration, which end with event `cursor`."""
--- a/latchturn/session/trace.py
+++ b/latchturn/session/trace.py
@@ -1,8 +1,8 @@
-"""The event trace: the last state changes with their reasons, for the staff who look into an incident.
+"""The event trace: the latest state changes with their reasons, for operators who investigate an incident.
 
-Owns a ring of typed records and their text. It must decide nothing, and nothing in the reducer reads it. Records of
-connections, exchanges, the command channel and the phase are log lines as well; those of single calls stay in the ring,
-since there are hundreds a second, and are printed on SIGUSR1.
+Owns a ring buffer of typed records and their text form. It decides nothing, and nothing in the reducer reads it.
+Records of links, exchanges, the command channel and the phase are logged as well. Records of single calls are not,
+since there are hundreds a second; SIGUSR1 prints the buffer.
 """
 
 from __future__ import annotations
@@ -12,18 +12,18 @@
 from dataclasses import dataclass
 from enum import Enum
 
-TRACE_LENGTH = 2000  # records kept; the last some seconds of a busy process
+TRACE_LENGTH = 2000  # records; the last few seconds of a busy process
 
 
 class TraceEvent(Enum):
-    """What has changed."""
+    """The kind of a state change; the value stands in trace lines."""
 
     CALL_TAKEN = "call taken"
     CALL_ANSWERED = "call answered"
     CALL_REFUSED = "call refused"
     CALL_FAILED = "call failed"
     CALL_ABANDONED = "call abandoned"  # by its caller, before an answer
-    CALL_ENDED = "call ended"  # after it had been answered
+    CALL_ENDED = "call ended"  # after its answer
     RELEASE_SENT = "release sent to caller"
     RELEASE_HELD = "release held, no caller connected"
     ATTEMPT_SENT = "attempt sent"
@@ -56,32 +56,32 @@
 
 
 class CloseReason(Enum):
-    """Why a connection was closed, a caller's or a link to an exchange."""
+    """Why a connection of a caller or a link to an exchange was closed; the name stands in counters."""
 
-    PEER_ENDED = "its peer ended it"
-    PEER_RESET = "its peer reset it"
+    PEER_ENDED = "ended by its peer"
+    PEER_RESET = "reset by its peer"
     CONNECT_REFUSED = "connect refused"
     CONNECT_FAILED = "connect failed"
-    SILENT = "it fell silent"
-    PROBED = "reopened to see whether the exchange lives"
-    HALF_READ = "its message stayed half read"
-    GARBLED = "it sent what cannot be read"
-    WRITE_STUCK = "a write on it was stuck"
-    OUTBOX_FULL = "it takes nothing in"
-    GIVE_UP_STUCK = "a give-up could not leave in time"
+    SILENT = "no messages are received on it"
+    PROBED = "replaced by a probe link"
+    HALF_READ = "its message stayed incomplete"
+    GARBLED = "malformed message received"
+    WRITE_STUCK = "a write did not complete in time"
+    OUTBOX_FULL = "too many messages wait to be written"
+    GIVE_UP_STUCK = "a give-up could not be written in time"
     EXCHANGE_DEAD = "its exchange has died"
     EXCHANGE_GONE = "its exchange is gone from the list"
-    ADDRESS_CHANGED = "its exchange has another address"
-    NO_DESCRIPTORS = "the descriptors are short"
-    SAID_NOTHING = "it said nothing"
-    FINISHED = "all that was owed on it is written"
-    DRAINED = "idle in a drain"
-    PROGRAM_ENDS = "the program ends"
+    ADDRESS_CHANGED = "its exchange has a new address"
+    NO_DESCRIPTORS = "file descriptors are short"
+    SAID_NOTHING = "nothing was sent to it in time"
+    FINISHED = "all pending answers are written"
+    DRAINED = "closed by a drain"
+    PROGRAM_ENDS = "the program exits"
 
 
 @dataclass(slots=True, frozen=True)
 class TraceRecord:
-    """One state change. Ids are 0 where there is none; the time is Unix microseconds."""
+    """One state change. An id that does not apply is 0; the time is in Unix microseconds."""
 
     at_us: int
     event: TraceEvent
@@ -91,7 +91,7 @@
     reason: str = ""
 
     def text(self) -> str:
-        """The record as one line, without its time."""
+        """The record as one line without its time."""
         parts = [self.event.value]
         if self.call:
             parts.append(f"call={self.call:016x}")
@@ -105,7 +105,8 @@
 
 
 class Trace:
-    """The last records. A copy that a state explorer makes of the reducer has none: nothing reads them."""
+    """The ring buffer. Pickling drops the records: the state explorer copies the reducer, and nothing in it reads
+    them."""
 
     def __init__(self) -> None:
         self.records: deque[TraceRecord] = deque(maxlen=TRACE_LENGTH)
@@ -114,6 +115,6 @@
         return (Trace, ())
 
     def lines(self) -> Iterator[str]:
-        """Each record with its time in seconds, the oldest first."""
+        """Each record with its Unix time in seconds, oldest first."""
         for record in self.records:
             yield f"{record.at_us / 1e6:.3f} {record.text()}"
