--- a/latchturn/brain.py
+++ b/latchturn/brain.py
@@ -163,7 +163,7 @@
     @property
     def value_per_circuit(self) -> float:
         """Worth for each circuit."""
-        return self.cls.value / self.offer.width
+        return self.call_class.value / self.offer.width
 
 
 class Controller:
@@ -331,7 +331,7 @@
             _keep(self.redial_records, call.offer.called_number, call.first_us, MAX_REDIAL_RECORDS)
 
     def _late(self, call: Call) -> bool:
-        return self.now - call.first_us >= call.cls.target_us
+        return self.now - call.first_us >= call.call_class.target_us
 
     def _route(self, call: Call) -> bool:
         """Send the call if the ordinary path and the guards admit it."""
@@ -351,14 +351,14 @@
         closed = closed or (self._cold(target) and not self._cold_open(target))
         if not closed and group.admits(cls, offer.width):
             begin = self.now if late else call.first_us
-            self._send(call, target, cls, int(begin + call.cls.target_us * DIRECT_TIMEOUT - self.now))
+            self._send(call, target, cls, int(begin + call.call_class.target_us * DIRECT_TIMEOUT - self.now))
             return True
         if offer.transit or late or target.congested() or self._cold(target):
             return False
         best = self._tandem(call)
         if best is None:
             return False
-        self._send(call, best, TWO_LEG, int(call.cls.target_us * TWO_LEG_TIMEOUT))
+        self._send(call, best, TWO_LEG, int(call.call_class.target_us * TWO_LEG_TIMEOUT))
         return True
 
     def _tandem(self, call: Call) -> Exchange | None:
@@ -373,7 +373,7 @@
         for number, tandem in self.by_number.items():
             if number in (offer.destination, self.settings.own_number) or number in call.tried:
                 continue
-            if self.uses_pools and number not in call.cls.pools:
+            if self.uses_pools and number not in call.call_class.pools:
                 continue
             if not tandem.accepts_set_up(self.now) or tandem.congested() or self._cold(tandem):
                 continue
@@ -396,7 +396,7 @@
             gap = self._warm_up_gap()
             to.next_turn_us = self._cold_turn(to, self.now + gap // 2, gap)
         to.outstanding += 1
-        call.at, call.two_leg, call.sent_us, call.out = to, cls == TWO_LEG, self.now, True
+        call.at, call.two_leg, call.sent_us, call.awaiting_answer = to, cls == TWO_LEG, self.now, True
         call.attempts += 1
         if call.two_leg and not call.offer.transit:
             call.tried.append(to.number)
@@ -415,7 +415,7 @@
 
     def _enqueue(self, call: Call) -> None:
         """Hold a call in line until a circuit or a window opens, or its aim or its deadline is near."""
-        aim_near = call.first_us + int(call.cls.target_us * WAIT_SHARE)
+        aim_near = call.first_us + int(call.call_class.target_us * WAIT_SHARE)
         least = max(int(ANSWER_MARGIN * self.shortest_target_us), int(LEAST_TIME * self.usual_set_up_us))
         call.until = min(aim_near, call.offer.deadline_us - least)
         if reason := self._given_up(call):
@@ -462,8 +462,8 @@
             return self.settings.max_retry_after_us
         group = target.group
         short = max(0, call.offer.width - group.free_circuits)
-        frees = int(short * call.cls.holding_us / max(1, group.size - group.free_circuits))
-        if self.now + frees >= call.first_us + call.cls.target_us:
+        frees = int(short * call.call_class.holding_us / max(1, group.size - group.free_circuits))
+        if self.now + frees >= call.first_us + call.call_class.target_us:
             return self.settings.max_retry_after_us
         # Guards against callers that come too late for their aim where nothing but chance stood in the way:
         # an exchange that fails set-ups at random has used the call's attempts up.
@@ -506,9 +506,9 @@
 
     def _stands(self, event: i.CallAnswered) -> None:
         call = self.calls.get(event.call)
-        if call is None or not call.out or call.at is None:
+        if call is None or not call.awaiting_answer or call.at is None:
             return
-        call.out = False
+        call.awaiting_answer = False
         call.at.outstanding -= 1
         self._answered(call, call.at)
         self.busy_numbers.pop(call.offer.called_number, None)
@@ -545,7 +545,7 @@
         call = self.calls.get(event.call)
         if call is None or call.at is None or call.attempts != event.attempt + 1:
             return
-        at, was_out, outcome, cause = call.at, call.out, event.outcome, event.cause
+        at, was_out, outcome, cause = call.at, call.awaiting_answer, event.outcome, event.cause
         cls = TWO_LEG if call.two_leg else DIRECT
         at.group.release(cls, call.offer.width)
         call.at = None
@@ -562,7 +562,7 @@
                 self._failed(call)
             else:
                 del self.calls[event.call]
-        elif call.cls.at_most_once and outcome not in NEVER_RAN:
+        elif call.call_class.at_most_once and outcome not in NEVER_RAN:
             # Guards against effects that come twice: its caller would try a refused call again.
             self._failed(call)
             self.actions.append(i.Fail(event.call, Reason.MAY_HAVE_RUN))
@@ -582,7 +582,7 @@
 
     def _judge(self, call: Call, at: Exchange, event: i.AttemptEnded) -> None:
         """What the end of an attempt that did not stand tells of the far end."""
-        call.out = False
+        call.awaiting_answer = False
         at.outstanding -= 1
         outcome, cause = event.outcome, event.cause
         if outcome in (i.Outcome.TIMED_OUT, i.Outcome.UNREACHABLE):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -48,36 +48,38 @@
 )
 
 
-def changed(**fields: object) -> i.Settings:
+def settings_with(**fields: object) -> i.Settings:
     return replace(SETTINGS, **fields)  # type: ignore[arg-type]
 
 
-def entry(number: int, state: i.ListState = i.ListState.READY, started: int = 0) -> i.ListEntry:
+def list_entry(number: int, state: i.ListState = i.ListState.READY, started: int = 0) -> i.ListEntry:
     return i.ListEntry(100 + number, number, state, started)
 
 
-class Bench:
-    """A controller with a clock, exchanges 0 to `far`, and counters for ids and attempts."""
+class ControllerHarness:
+    """A controller with a clock, exchanges 0 to `remote_exchanges`, and counters for ids and attempts."""
 
-    def __init__(self, settings: i.Settings = SETTINGS, far: int = 3, free: int = 40, size: int = 40) -> None:
+    def __init__(
+        self, settings: i.Settings = SETTINGS, remote_exchanges: int = 3, free: int = 40, size: int = 40
+    ) -> None:
         self.controller = Controller(settings, 7)
         self.now = 1000 * SECOND
         self.next_call = 1
         self.attempts: dict[int, int] = {}
         self.timers: list[tuple[int, int]] = []
-        self.log: list[i.Action] = []
-        self.list(i.ListKind.CACHED, *[entry(k) for k in range(far + 1)])
-        for k in range(1, far + 1):
-            self.told(k, free, size)
+        self.all_actions: list[i.Action] = []
+        self.update_list(i.ListKind.CACHED, *[list_entry(k) for k in range(remote_exchanges + 1)])
+        for k in range(1, remote_exchanges + 1):
+            self.report(k, free, size)
 
-    def do(self, event: i.Event) -> list[i.Action]:
+    def handle(self, event: i.Event) -> list[i.Action]:
         actions = self.controller.handle(self.now, event)
         for action in actions:
             if isinstance(action, i.SendSetup):
                 self.attempts[action.call] = self.attempts.get(action.call, -1) + 1
             elif isinstance(action, i.SetTimer):
                 self.timers.append((self.now + action.delay_us, action.token))
-        self.log += actions
+        self.all_actions += actions
         return actions
 
     def pass_time(self, us: int) -> list[i.Action]:
@@ -87,25 +89,25 @@
             first = min(due)
             self.timers.remove(first)
             self.now = max(self.now, first[0])
-            actions += self.do(i.TimerDue(first[1]))
+            actions += self.handle(i.TimerDue(first[1]))
         self.now = end
         return actions
 
-    def list(self, kind: i.ListKind, *entries: i.ListEntry) -> list[i.Action]:
-        return self.do(i.ExchangeList(kind, list(entries)))
+    def update_list(self, kind: i.ListKind, *entries: i.ListEntry) -> list[i.Action]:
+        return self.handle(i.ExchangeList(kind, list(entries)))
 
-    def told(self, number: int, free: int, size: int = 40, **figures: float) -> list[i.Action]:
+    def report(self, number: int, free: int, size: int = 40, **figures: float) -> list[i.Action]:
         report = i.LoadReport(free=free, size=size, **figures)  # type: ignore[arg-type]
-        return self.do(i.ExchangeReport(100 + number, True, False, 0, report))
+        return self.handle(i.ExchangeReport(100 + number, True, False, 0, report))
 
     def offer(self, to: int, cls: int = 0, called_number: int = 0, **more: object) -> tuple[int, list[i.Action]]:
         call, self.next_call = self.next_call, self.next_call + 1
         width = self.controller.settings.classes[cls].width
         deadline = more.pop("deadline_us", self.now + 3 * SECOND)
         offer = i.CallOffered(call, cls, to, called_number, width, deadline, **more)  # type: ignore[arg-type]
-        return call, self.do(offer)
+        return call, self.handle(offer)
 
-    def ended(
+    def end_attempt(
         self,
         call: int,
         number: int,
@@ -115,18 +117,18 @@
         **more: int,
     ) -> list[i.Action]:
         attempt = self.attempts[call]
-        return self.do(i.AttemptEnded(call, attempt, 100 + number, outcome, 0, concluded, cause, **more))
+        return self.handle(i.AttemptEnded(call, attempt, 100 + number, outcome, 0, concluded, cause, **more))
 
-    def stands(self, call: int, number: int) -> list[i.Action]:
-        return self.do(i.CallAnswered(call, self.attempts[call], 100 + number, 0))
+    def answer(self, call: int, number: int) -> list[i.Action]:
+        return self.handle(i.CallAnswered(call, self.attempts[call], 100 + number, 0))
 
 
-def sends(actions: list[i.Action]) -> list[int]:
+def sent_to(actions: list[i.Action]) -> list[int]:
     """Numbers of the exchanges that set-ups were sent to."""
     return [a.exchange - 100 for a in actions if isinstance(a, i.SendSetup)]
 
 
-def finals(actions: list[i.Action]) -> list[int]:
+def final_answers(actions: list[i.Action]) -> list[int]:
     """Calls that got their final answer."""
     return [a.call for a in actions if isinstance(a, i.Refuse | i.Fail)]
 
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -11,7 +11,7 @@
 from latchturn import interface as i
 from latchturn.brain import MAX_BUSY_NUMBERS, MAX_REDIAL_RECORDS
 
-from .helpers import SECOND, Bench, changed, entry
+from .helpers import SECOND, ControllerHarness, list_entry, settings_with
 
 ENDS = (
     (i.Outcome.TURNED_AWAY, i.Cause.REFUSED_BY_TANDEM),
@@ -24,7 +24,7 @@
 )
 
 
-class Watched(Bench):
+class Watched(ControllerHarness):
     """Checks every action against the rules as it comes."""
 
     def __init__(self, controllers: int) -> None:
@@ -34,10 +34,10 @@
         self.not_before: dict[int, int] = {}
         self.gone: set[int] = set()
         self.left: set[int] = set()
-        super().__init__(changed(controllers=controllers), far=6)
+        super().__init__(settings_with(controllers=controllers), remote_exchanges=6)
 
-    def do(self, event: i.Event) -> list[i.Action]:
-        actions = super().do(event)
+    def handle(self, event: i.Event) -> list[i.Action]:
+        actions = super().handle(event)
         for action in actions:
             if isinstance(action, i.SendSetup):
                 assert action.call in self.unanswered and action.call not in self.outstanding
@@ -56,7 +56,7 @@
         if chance.random() < 0.5:
             self.standing[call] = number
             self.unanswered.pop(call, None)
-            self.stands(call, number)
+            self.answer(call, number)
             return
         outcome, cause = chance.choice(ENDS)
         if outcome is i.Outcome.TIMED_OUT:
@@ -64,60 +64,60 @@
         attempt = self.attempts[call]
         done = call in self.left
         for _ in range(chance.choice((1, 1, 2))):
-            self.do(i.AttemptEnded(call, attempt, 100 + number, outcome, 0, done, cause))
+            self.handle(i.AttemptEnded(call, attempt, 100 + number, outcome, 0, done, cause))
 
 
 @settings(max_examples=25, deadline=None, derandomize=True)
 @given(st.integers(0, 10**6), st.sampled_from((1, 8, 60, 500)))
 def test_random_events_keep_the_rules_and_leave_nothing_over(seed: int, controllers: int) -> None:
     chance = random.Random(seed)
-    bench = Watched(controllers)
+    harness = Watched(controllers)
     for _ in range(400):
         roll = chance.random()
         if roll < 0.45:
-            call, bench.next_call = bench.next_call, bench.next_call + 1
+            call, harness.next_call = harness.next_call, harness.next_call + 1
             cls = chance.randrange(3)
-            deadline = bench.now + chance.choice((1, 20_000, 200_000, 3 * SECOND))
-            bench.unanswered[call] = deadline
-            width = bench.controller.settings.classes[cls].width
+            deadline = harness.now + chance.choice((1, 20_000, 200_000, 3 * SECOND))
+            harness.unanswered[call] = deadline
+            width = harness.controller.settings.classes[cls].width
             transit, again = chance.random() < 0.2, chance.random() < 0.2
             number, called_number = chance.randrange(1, 7), chance.randrange(20)
-            bench.do(i.CallOffered(call, cls, number, called_number, width, deadline, transit, again))
-        elif roll < 0.75 and bench.outstanding:
-            bench.finish(chance.choice(sorted(bench.outstanding)), chance)
-        elif roll < 0.8 and bench.standing:
-            call = chance.choice(sorted(bench.standing))
-            bench.ended(call, bench.standing.pop(call), i.Outcome.RELEASED, concluded=True)
+            harness.handle(i.CallOffered(call, cls, number, called_number, width, deadline, transit, again))
+        elif roll < 0.75 and harness.outstanding:
+            harness.finish(chance.choice(sorted(harness.outstanding)), chance)
+        elif roll < 0.8 and harness.standing:
+            call = chance.choice(sorted(harness.standing))
+            harness.end_attempt(call, harness.standing.pop(call), i.Outcome.RELEASED, concluded=True)
         elif roll < 0.85:
             number = chance.randrange(1, 7)
             state = chance.choice((i.ListState.READY, i.ListState.DRAINING, i.ListState.GONE))
-            (bench.gone.discard if state is i.ListState.READY else bench.gone.add)(number)
-            started = bench.now * chance.randrange(2)
-            bench.list(i.ListKind.CHANGES, entry(number, state, started))
+            (harness.gone.discard if state is i.ListState.READY else harness.gone.add)(number)
+            started = harness.now * chance.randrange(2)
+            harness.update_list(i.ListKind.CHANGES, list_entry(number, state, started))
         elif roll < 0.9:
-            waiting = sorted(call for call in bench.unanswered if call not in bench.left)
+            waiting = sorted(call for call in harness.unanswered if call not in harness.left)
             if waiting:
                 call = chance.choice(waiting)
-                bench.left.add(call)
-                if call not in bench.outstanding:
-                    bench.unanswered.pop(call)
-                bench.do(i.CallerLeft(call))
+                harness.left.add(call)
+                if call not in harness.outstanding:
+                    harness.unanswered.pop(call)
+                harness.handle(i.CallerLeft(call))
         else:
-            bench.told(chance.randrange(1, 7), chance.randrange(41), chance.choice((0, 5, 40)))
-        bench.pass_time(chance.randrange(100_000))
-        for call in [c for c in bench.outstanding if bench.now >= bench.unanswered.get(c, bench.now + 1)]:
-            number = bench.outstanding.pop(call)
-            bench.now = bench.unanswered[call] if call not in bench.left else bench.now
-            bench.ended(call, number, i.Outcome.TIMED_OUT, concluded=call in bench.left)
-    for call, number in sorted(bench.standing.items()):
-        bench.ended(call, number, i.Outcome.RELEASED, concluded=True)
+            harness.report(chance.randrange(1, 7), chance.randrange(41), chance.choice((0, 5, 40)))
+        harness.pass_time(chance.randrange(100_000))
+        for call in [c for c in harness.outstanding if harness.now >= harness.unanswered.get(c, harness.now + 1)]:
+            number = harness.outstanding.pop(call)
+            harness.now = harness.unanswered[call] if call not in harness.left else harness.now
+            harness.end_attempt(call, number, i.Outcome.TIMED_OUT, concluded=call in harness.left)
+    for call, number in sorted(harness.standing.items()):
+        harness.end_attempt(call, number, i.Outcome.RELEASED, concluded=True)
     for _ in range(600):  # a minute: calls that waited may still be sent, and end too
-        while bench.outstanding:
-            call = min(bench.outstanding)
-            bench.left.add(call)
-            bench.ended(call, bench.outstanding.pop(call), i.Outcome.UNREACHABLE, concluded=True)
-        bench.pass_time(SECOND // 10)
-    controller = bench.controller
+        while harness.outstanding:
+            call = min(harness.outstanding)
+            harness.left.add(call)
+            harness.end_attempt(call, harness.outstanding.pop(call), i.Outcome.UNREACHABLE, concluded=True)
+        harness.pass_time(SECOND // 10)
+    controller = harness.controller
     assert controller.calls == {} and controller.queues == {} and controller.timers == {}
     assert len(controller.redial_records) <= MAX_REDIAL_RECORDS and len(controller.busy_numbers) <= MAX_BUSY_NUMBERS
     for far in controller.exchanges.values():
@@ -127,21 +127,21 @@
 
 @pytest.mark.parametrize("controllers", [1, 500])
 def test_many_exchanges_replaced_at_once_are_served_again(controllers: int) -> None:
-    bench = Bench(changed(controllers=controllers), far=60)
+    harness = ControllerHarness(settings_with(controllers=controllers), remote_exchanges=60)
     fresh = [i.ListEntry(500 + n, n, i.ListState.READY, 0) for n in range(61)]
-    bench.list(i.ListKind.FULL, *fresh)
+    harness.update_list(i.ListKind.FULL, *fresh)
     for n in range(1, 61):
-        call, actions = bench.offer(n)
+        call, actions = harness.offer(n)
         sent = [a for a in actions if isinstance(a, i.SendSetup)]
         assert [a.exchange for a in sent] == [500 + n]
 
 
 def test_tables_stay_bounded() -> None:
-    bench = Bench(far=2)
+    harness = ControllerHarness(remote_exchanges=2)
     for called_number in range(1, MAX_REDIAL_RECORDS + MAX_BUSY_NUMBERS + 100):
-        bench.told(1, 40)
-        call, actions = bench.offer(1, called_number=called_number)
+        harness.report(1, 40)
+        call, actions = harness.offer(1, called_number=called_number)
         if any(isinstance(a, i.SendSetup) for a in actions):
-            bench.ended(call, 1, i.Outcome.NO_LINE, i.Cause.NUMBER_BUSY)
-    assert len(bench.controller.redial_records) <= MAX_REDIAL_RECORDS
-    assert len(bench.controller.busy_numbers) <= MAX_BUSY_NUMBERS
+            harness.end_attempt(call, 1, i.Outcome.NO_LINE, i.Cause.NUMBER_BUSY)
+    assert len(harness.controller.redial_records) <= MAX_REDIAL_RECORDS
+    assert len(harness.controller.busy_numbers) <= MAX_BUSY_NUMBERS
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,127 +4,127 @@
 
 from latchturn import interface as i
 
-from .helpers import OWN, SECOND, SETTINGS, Bench, changed, entry, finals, sends
+from .helpers import OWN, SECOND, SETTINGS, ControllerHarness, final_answers, list_entry, sent_to, settings_with
 
 
 def test_direct_first_then_the_freest_admitting_tandem() -> None:
-    bench = Bench()
-    assert sends(bench.offer(1)[1]) == [1]
-    bench.told(1, 0)
-    bench.told(2, 30)
-    bench.told(3, 35)
-    assert sends(bench.offer(1)[1]) == [3]
+    harness = ControllerHarness()
+    assert sent_to(harness.offer(1)[1]) == [1]
+    harness.report(1, 0)
+    harness.report(2, 30)
+    harness.report(3, 35)
+    assert sent_to(harness.offer(1)[1]) == [3]
 
 
 def test_transit_goes_only_to_its_destination_or_back_at_once() -> None:
-    bench = Bench()
-    call, actions = bench.offer(1, transit=True, via=2)
-    assert sends(actions) == [1]
-    bench.told(1, 0)
-    call, actions = bench.offer(1, transit=True, via=2)
+    harness = ControllerHarness()
+    call, actions = harness.offer(1, transit=True, via=2)
+    assert sent_to(actions) == [1]
+    harness.report(1, 0)
+    call, actions = harness.offer(1, transit=True, via=2)
     assert actions == [i.Refuse(call, 0)]
-    call, actions = bench.offer(OWN, transit=True, via=2)
-    assert finals(actions) == [call]
+    call, actions = harness.offer(OWN, transit=True, via=2)
+    assert final_answers(actions) == [call]
 
 
 def test_turned_back_transit_at_the_tandem_is_final() -> None:
-    bench = Bench()
-    call, _ = bench.offer(1, transit=True, via=2)
-    actions = bench.ended(call, 1, i.Outcome.TURNED_AWAY, i.Cause.PROCESSOR_FULL)
-    assert finals(actions) == [call] and not sends(actions)
+    harness = ControllerHarness()
+    call, _ = harness.offer(1, transit=True, via=2)
+    actions = harness.end_attempt(call, 1, i.Outcome.TURNED_AWAY, i.Cause.PROCESSOR_FULL)
+    assert final_answers(actions) == [call] and not sent_to(actions)
 
 
 def test_rule_1_waiting_call_is_answered_before_its_deadline() -> None:
-    bench = Bench()
+    harness = ControllerHarness()
     for k in (1, 2, 3):
-        bench.told(k, 0)
-    call, actions = bench.offer(1)
-    assert not finals(actions) and not sends(actions)
-    actions = bench.pass_time(3 * SECOND)
-    assert finals(actions) == [call]
-    assert not bench.told(1, 40)
-    assert bench.controller.calls == {} and bench.controller.queues == {}
+        harness.report(k, 0)
+    call, actions = harness.offer(1)
+    assert not final_answers(actions) and not sent_to(actions)
+    actions = harness.pass_time(3 * SECOND)
+    assert final_answers(actions) == [call]
+    assert not harness.report(1, 40)
+    assert harness.controller.calls == {} and harness.controller.queues == {}
 
 
 def test_rule_1_short_deadline_is_answered_in_time() -> None:
-    bench = Bench()
+    harness = ControllerHarness()
     for k in (1, 2, 3):
-        bench.told(k, 0)
-    begin = bench.now
-    call, actions = bench.offer(1, deadline_us=begin + 300_000)
-    while not finals(actions) and bench.now < begin + SECOND:
-        actions = bench.pass_time(5_000)
-    assert finals(actions) == [call] and bench.now < begin + 300_000
+        harness.report(k, 0)
+    begin = harness.now
+    call, actions = harness.offer(1, deadline_us=begin + 300_000)
+    while not final_answers(actions) and harness.now < begin + SECOND:
+        actions = harness.pass_time(5_000)
+    assert final_answers(actions) == [call] and harness.now < begin + 300_000
 
 
 def test_rule_1_time_out_at_the_deadline_is_answered_at_once() -> None:
-    bench = Bench()
-    call, _ = bench.offer(1)
-    bench.now += 3 * SECOND
-    assert bench.ended(call, 1, i.Outcome.TIMED_OUT) == [i.Fail(call)]
-    assert bench.ended(call, 1, i.Outcome.TIMED_OUT) == []
+    harness = ControllerHarness()
+    call, _ = harness.offer(1)
+    harness.now += 3 * SECOND
+    assert harness.end_attempt(call, 1, i.Outcome.TIMED_OUT) == [i.Fail(call)]
+    assert harness.end_attempt(call, 1, i.Outcome.TIMED_OUT) == []
 
 
 def test_rule_1_a_cut_call_that_comes_again_is_a_call_of_its_own() -> None:
-    bench = Bench()
-    call, _ = bench.offer(1)
-    bench.stands(call, 1)
-    assert bench.ended(call, 1, i.Outcome.CUT, concluded=True) == []
-    assert bench.controller.calls == {}
-    again, actions = bench.offer(1, cut_before=True)
-    assert sends(actions) == [1] and again != call
+    harness = ControllerHarness()
+    call, _ = harness.offer(1)
+    harness.answer(call, 1)
+    assert harness.end_attempt(call, 1, i.Outcome.CUT, concluded=True) == []
+    assert harness.controller.calls == {}
+    again, actions = harness.offer(1, cut_before=True)
+    assert sent_to(actions) == [1] and again != call
 
 
 def test_rule_2_nothing_more_is_sent_while_an_attempt_is_out() -> None:
-    bench = Bench()
-    call, _ = bench.offer(1)
-    later = bench.pass_time(2 * SECOND) + bench.told(1, 40) + bench.told(2, 40)
-    assert not sends(later)
+    harness = ControllerHarness()
+    call, _ = harness.offer(1)
+    later = harness.pass_time(2 * SECOND) + harness.report(1, 40) + harness.report(2, 40)
+    assert not sent_to(later)
 
 
 def test_rule_3_nothing_to_a_draining_or_gone_or_missing_exchange() -> None:
     for state in (i.ListState.DRAINING, i.ListState.GONE):
-        bench = Bench()
-        bench.list(i.ListKind.CHANGES, entry(1, state))
-        call, actions = bench.offer(1)
-        assert finals(actions) == [call] and not sends(actions)
-    bench = Bench()
-    bench.list(i.ListKind.FULL, entry(0), entry(2), entry(3))
-    call, actions = bench.offer(1)
-    assert finals(actions) == [call] and not sends(actions)
+        harness = ControllerHarness()
+        harness.update_list(i.ListKind.CHANGES, list_entry(1, state))
+        call, actions = harness.offer(1)
+        assert final_answers(actions) == [call] and not sent_to(actions)
+    harness = ControllerHarness()
+    harness.update_list(i.ListKind.FULL, list_entry(0), list_entry(2), list_entry(3))
+    call, actions = harness.offer(1)
+    assert final_answers(actions) == [call] and not sent_to(actions)
 
 
 def test_rule_3_a_waiting_call_gets_its_answer_once_its_exchange_drains() -> None:
-    bench = Bench()
+    harness = ControllerHarness()
     for k in (1, 2, 3):
-        bench.told(k, 0)
-    call, _ = bench.offer(1)
-    actions = bench.list(i.ListKind.CHANGES, entry(1, i.ListState.DRAINING))
-    assert finals(actions) == [call] and not sends(actions)
-    assert not sends(bench.told(1, 40))
+        harness.report(k, 0)
+    call, _ = harness.offer(1)
+    actions = harness.update_list(i.ListKind.CHANGES, list_entry(1, i.ListState.DRAINING))
+    assert final_answers(actions) == [call] and not sent_to(actions)
+    assert not sent_to(harness.report(1, 40))
 
 
-def cold_sends(bench: Bench, seconds: int) -> list[int]:
+def cold_sends(harness: ControllerHarness, seconds: int) -> list[int]:
     """Times of sends to exchange 1, just started, under more calls than it may get."""
     times = []
-    bench.list(i.ListKind.CHANGES, entry(1, started=bench.now))
-    end = bench.now + seconds * SECOND
-    while bench.now < end:
-        call, actions = bench.offer(1, transit=bench.next_call % 3 == 0)
-        actions += bench.pass_time(100_000)
+    harness.update_list(i.ListKind.CHANGES, list_entry(1, started=harness.now))
+    end = harness.now + seconds * SECOND
+    while harness.now < end:
+        call, actions = harness.offer(1, transit=harness.next_call % 3 == 0)
+        actions += harness.pass_time(100_000)
         for action in actions:
             if isinstance(action, i.SendSetup) and action.exchange == 101:
-                times.append(bench.now)
-                bench.stands(action.call, 1)
-                bench.ended(action.call, 1, i.Outcome.RELEASED, concluded=True)
+                times.append(harness.now)
+                harness.answer(action.call, 1)
+                harness.end_attempt(action.call, 1, i.Outcome.RELEASED, concluded=True)
     return times
 
 
 def test_rule_4_all_proxies_together_stay_within_the_cold_budget_in_every_window() -> None:
-    bench = Bench()
+    harness = ControllerHarness()
     for k in (2, 3):
-        bench.told(k, 40, setups_per_s=20.0)
-    times = cold_sends(bench, 10)
+        harness.report(k, 40, setups_per_s=20.0)
+    times = cold_sends(harness, 10)
     s = SETTINGS
     takes = 20.0 + 2 * 10.0  # what warm exchanges say they can take, and the calls carried out and in
     budget = s.collapse_multiple * s.cold_start_share * takes * s.collapse_us / SECOND
@@ -134,46 +134,46 @@
 
 
 def test_rule_4_budget_without_any_report_comes_from_the_own_calls() -> None:
-    bench = Bench(changed(controllers=2))
+    harness = ControllerHarness(settings_with(controllers=2))
     for _ in range(40):
-        call, _ = bench.offer(2)
-        bench.stands(call, 2)
-        bench.ended(call, 2, i.Outcome.RELEASED, concluded=True)
-        bench.pass_time(SECOND // 4)
-    times = cold_sends(bench, 6)
+        call, _ = harness.offer(2)
+        harness.answer(call, 2)
+        harness.end_attempt(call, 2, i.Outcome.RELEASED, concluded=True)
+        harness.pass_time(SECOND // 4)
+    times = cold_sends(harness, 6)
     assert 1 <= len(times) < 60
 
 
 def test_rule_4_a_warm_exchange_is_not_held_back_any_more() -> None:
-    bench = Bench()
-    bench.list(i.ListKind.CHANGES, entry(1, started=bench.now))
-    sent = [sends(bench.offer(1)[1]) for _ in range(4)]
+    harness = ControllerHarness()
+    harness.update_list(i.ListKind.CHANGES, list_entry(1, started=harness.now))
+    sent = [sent_to(harness.offer(1)[1]) for _ in range(4)]
     assert sent.count([1]) < 4
-    bench.pass_time(SETTINGS.warm_up_us + SECOND)
-    assert sends(bench.offer(1)[1]) == [1]
+    harness.pass_time(SETTINGS.warm_up_us + SECOND)
+    assert sent_to(harness.offer(1)[1]) == [1]
 
 
 def test_rule_5_release_is_awaited() -> None:
     for outcome in (i.Outcome.TIMED_OUT, i.Outcome.CUT, i.Outcome.CANCELLED):
-        bench = Bench()
-        call, _ = bench.offer(1, cls=1)
-        bench.now += 100_000
-        told = bench.now
-        actions = bench.ended(call, 1, outcome)
-        actions += bench.told(1, 40) + bench.told(2, 39)
-        assert not sends(actions)
+        harness = ControllerHarness()
+        call, _ = harness.offer(1, cls=1)
+        harness.now += 100_000
+        told = harness.now
+        actions = harness.end_attempt(call, 1, outcome)
+        actions += harness.report(1, 40) + harness.report(2, 39)
+        assert not sent_to(actions)
         resent = None
-        while resent is None and bench.now < told + 2 * SECOND:
-            if sends(bench.pass_time(5_000) + bench.told(1, 40)):
-                resent = bench.now
+        while resent is None and harness.now < told + 2 * SECOND:
+            if sent_to(harness.pass_time(5_000) + harness.report(1, 40)):
+                resent = harness.now
         assert resent is not None and resent >= told + SETTINGS.release_us
 
 
 def test_attempts_are_limited() -> None:
-    bench = Bench()
-    call, actions = bench.offer(1)
+    harness = ControllerHarness()
+    call, actions = harness.offer(1)
     for _ in range(SETTINGS.max_attempts):
-        at = sends(actions)
+        at = sent_to(actions)
         assert len(at) == 1
-        actions = bench.ended(call, at[0], i.Outcome.NOT_SENT)
-    assert not sends(actions) and finals(actions) == [call]
+        actions = harness.end_attempt(call, at[0], i.Outcome.NOT_SENT)
+    assert not sent_to(actions) and final_answers(actions) == [call]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -8,7 +8,7 @@
 
 from latchturn import interface as i
 
-from .helpers import SECOND, Bench, changed, entry, finals, sends
+from .helpers import SECOND, ControllerHarness, final_answers, list_entry, sent_to, settings_with
 
 PROXIES = 60
 COLD = range(1, 21)  # a third of the exchanges, started together
@@ -16,26 +16,26 @@
 MORE = 20.0  # what it can take in addition, where exchanges report it
 
 
-class Proxy(Bench):
+class Proxy(ControllerHarness):
     """One of many proxies: all its set-ups stand and end at once; it counts those to cold exchanges."""
 
     def __init__(self, seed: int, now: int, reports: bool) -> None:
         self.sent: list[tuple[int, int]] = []
-        super().__init__(changed(controllers=PROXIES, own_number=100 + seed % PROXIES), far=25)
+        super().__init__(settings_with(controllers=PROXIES, own_number=100 + seed % PROXIES), remote_exchanges=25)
         self.controller.random.seed(seed)
         self.now = now
         if reports:
             for number in range(21, 26):
-                self.told(number, 40, setups_per_s=MORE)
+                self.report(number, 40, setups_per_s=MORE)
 
-    def do(self, event: i.Event) -> list[i.Action]:
-        actions = super().do(event)
+    def handle(self, event: i.Event) -> list[i.Action]:
+        actions = super().handle(event)
         for action in list(actions):
             if isinstance(action, i.SendSetup):
                 number = action.exchange - 100
                 self.sent.append((number, self.now))
-                self.stands(action.call, number)
-                self.ended(action.call, number, i.Outcome.RELEASED, concluded=True)
+                self.answer(action.call, number)
+                self.end_attempt(action.call, number, i.Outcome.RELEASED, concluded=True)
         return actions
 
 
@@ -53,14 +53,14 @@
         end = start + proxy.controller.settings.warm_up_us
         proxy.pass_time(chance.randrange(told_within_us + 1))
         told = proxy.now  # what goes out before is no fault of this proxy
-        proxy.list(i.ListKind.CHANGES, *[entry(number, started=start) for number in COLD])
+        proxy.update_list(i.ListKind.CHANGES, *[list_entry(number, started=start) for number in COLD])
         again = start + chance.randrange(8 * SECOND) if restart else end
         while proxy.now < end:
             if proxy.now >= again:
                 before, again = proxy, end
                 proxy = Proxy(PROXIES + k, before.now, reports)
                 proxy.sent = before.sent
-                proxy.list(i.ListKind.FULL, *[entry(n, started=start * (n in COLD)) for n in range(26)])
+                proxy.update_list(i.ListKind.FULL, *[list_entry(n, started=start * (n in COLD)) for n in range(26)])
             for number in COLD:
                 if chance.random() < 0.05:
                     proxy.offer(number)
@@ -78,7 +78,7 @@
 def test_rule_4_sixty_proxies_do_not_push_twenty_cold_exchanges_over(
     reports: bool, told_within_us: int, restart: bool
 ) -> None:
-    settings = changed(controllers=PROXIES)
+    settings = settings_with(controllers=PROXIES)
     sent = network(reports, told_within_us, restart)
     takes = CARRIED + (MORE if reports else CARRIED / 2)
     budget = settings.collapse_multiple * settings.cold_start_share * takes * settings.collapse_us / SECOND
@@ -89,78 +89,78 @@
 
 
 def test_rule_4_hundreds_of_proxies_send_less_each() -> None:
-    few, many = Bench(changed(controllers=10)), Bench(changed(controllers=500))
+    few, many = ControllerHarness(settings_with(controllers=10)), ControllerHarness(settings_with(controllers=500))
     gaps = []
-    for bench in (few, many):
-        bench.told(2, 40, setups_per_s=MORE)
-        gaps.append(bench.controller._warm_up_gap())
+    for harness in (few, many):
+        harness.report(2, 40, setups_per_s=MORE)
+        gaps.append(harness.controller._warm_up_gap())
     assert gaps[1] == pytest.approx(50 * gaps[0], rel=0.01)
     settings = many.controller.settings
     assert 500 * SECOND / gaps[1] <= settings.collapse_multiple * settings.cold_start_share * MORE
 
 
 def test_callers_with_little_time_are_tried_where_set_ups_are_quick() -> None:
-    bench = Bench()
+    harness = ControllerHarness()
     for _ in range(30):
-        call, _ = bench.offer(1)
-        bench.now += 80_000
-        bench.stands(call, 1)
-        bench.ended(call, 1, i.Outcome.RELEASED, concluded=True)
-    call, actions = bench.offer(1, deadline_us=bench.now + 120_000)
-    assert sends(actions) == [1]
-    bench.stands(call, 1)
-    call, actions = bench.offer(1, deadline_us=bench.now + 10_000)
-    assert not sends(actions) and finals(actions + bench.pass_time(10_000)) == [call]
-
-
-def turned_back(bench: Bench, to: int) -> list[int]:
+        call, _ = harness.offer(1)
+        harness.now += 80_000
+        harness.answer(call, 1)
+        harness.end_attempt(call, 1, i.Outcome.RELEASED, concluded=True)
+    call, actions = harness.offer(1, deadline_us=harness.now + 120_000)
+    assert sent_to(actions) == [1]
+    harness.answer(call, 1)
+    call, actions = harness.offer(1, deadline_us=harness.now + 10_000)
+    assert not sent_to(actions) and final_answers(actions + harness.pass_time(10_000)) == [call]
+
+
+def turned_back(harness: ControllerHarness, to: int) -> list[int]:
     """Tandems that a call to `to` tries while every one turns it back."""
     tried = []
-    call, actions = bench.offer(to)
-    while at := sends(actions):
+    call, actions = harness.offer(to)
+    while at := sent_to(actions):
         tried += at
-        bench.now += 20_000
-        actions = bench.ended(call, at[0], i.Outcome.TURNED_AWAY, i.Cause.REFUSED_BY_TANDEM)
-    bench.pass_time(2 * SECOND)
+        harness.now += 20_000
+        actions = harness.end_attempt(call, at[0], i.Outcome.TURNED_AWAY, i.Cause.REFUSED_BY_TANDEM)
+    harness.pass_time(2 * SECOND)
     return tried
 
 
 def test_calls_that_mostly_come_back_try_one_unproven_tandem_and_proven_ones_first() -> None:
-    bench = Bench(far=30)
+    harness = ControllerHarness(remote_exchanges=30)
     for number in range(1, 6):
-        bench.told(number, 0)
-    assert len(turned_back(bench, 1)) > 1  # the ordinary path, before turn-backs are the rule
-    while bench.controller.tandem_refusal_share < 0.9:
-        turned_back(bench, 2)
-        bench.pass_time(40 * SECOND)
-    assert len(turned_back(bench, 3)) == 1
-    bench.pass_time(60 * SECOND)
+        harness.report(number, 0)
+    assert len(turned_back(harness, 1)) > 1  # the ordinary path, before turn-backs are the rule
+    while harness.controller.tandem_refusal_share < 0.9:
+        turned_back(harness, 2)
+        harness.pass_time(40 * SECOND)
+    assert len(turned_back(harness, 3)) == 1
+    harness.pass_time(60 * SECOND)
     for number in range(6, 31):
-        bench.told(number, 20 + number)
-    call, actions = bench.offer(4)
-    assert sends(actions) == [30]  # still the one with most told free circuits
-    bench.stands(call, 30)
-    bench.told(30, 20)
-    assert sends(bench.offer(4)[1]) == [30]  # proven, though others have more
-    while bench.controller.tandem_refusal_share >= 0.4:  # calls that stand end it
-        call, actions = bench.offer(5)
-        if at := sends(actions):
-            bench.stands(call, at[0])
-            bench.ended(call, at[0], i.Outcome.RELEASED, concluded=True)
+        harness.report(number, 20 + number)
+    call, actions = harness.offer(4)
+    assert sent_to(actions) == [30]  # still the one with most told free circuits
+    harness.answer(call, 30)
+    harness.report(30, 20)
+    assert sent_to(harness.offer(4)[1]) == [30]  # proven, though others have more
+    while harness.controller.tandem_refusal_share >= 0.4:  # calls that stand end it
+        call, actions = harness.offer(5)
+        if at := sent_to(actions):
+            harness.answer(call, at[0])
+            harness.end_attempt(call, at[0], i.Outcome.RELEASED, concluded=True)
     for number in range(6, 31):
-        bench.told(number, 20 + number - 10 * (number == 30))
-    assert sends(bench.offer(4)[1]) == [29]
+        harness.report(number, 20 + number - 10 * (number == 30))
+    assert sent_to(harness.offer(4)[1]) == [29]
 
 
 def test_all_proxies_together_try_a_busy_number_no_more_often_than_a_few_do() -> None:
     tries = []
     for controllers in (4, PROXIES):
-        bench, sent = Bench(changed(controllers=controllers), far=1), 0
+        harness, sent = ControllerHarness(settings_with(controllers=controllers), remote_exchanges=1), 0
         for _ in range(600):
-            _, actions = bench.offer(1, called_number=77)
+            _, actions = harness.offer(1, called_number=77)
             for action in [a for a in actions if isinstance(a, i.SendSetup)]:
                 sent += 1
-                bench.ended(action.call, 1, i.Outcome.NO_LINE, i.Cause.NUMBER_BUSY)
-            bench.pass_time(100_000)
+                harness.end_attempt(action.call, 1, i.Outcome.NO_LINE, i.Cause.NUMBER_BUSY)
+            harness.pass_time(100_000)
         tries.append(controllers * sent)
     assert tries[1] <= 2 * tries[0]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -19,7 +19,18 @@
 from latchturn.net import Server
 from latchturn.session import limits
 
-from .helpers import NESTED, SECOND, SETTINGS, Bench, Desk, Program, changed, finals, sends, set_up
+from .helpers import (
+    NESTED,
+    SECOND,
+    SETTINGS,
+    ControllerHarness,
+    Desk,
+    Program,
+    final_answers,
+    sent_to,
+    set_up,
+    settings_with,
+)
 
 PLAIN = i.CallClass("premium quote", 1.0, 0.1, 1_500_000, 9 * SECOND, 1, 10 * SECOND)
 NEXT = replace(PLAIN, name="next quote", give_up_us=3 * SECOND)
@@ -88,37 +99,37 @@
 class Module(unittest.TestCase):
     def test_fewer_attempts_count_for_calls_under_way_and_more_do_not(self) -> None:
         for before, after, more in ((4, 1, False), (4, 2, True), (1, 4, False)):
-            bench = Bench(changed(max_attempts=before))
-            call, _ = bench.offer(1)
-            bench.do(i.SettingsChanged(changed(max_attempts=after)))
-            actions = bench.ended(call, 1, i.Outcome.TURNED_AWAY, i.Cause.NO_CIRCUIT)
-            self.assertEqual((bool(sends(actions)), bool(finals(actions))), (more, not more))
+            harness = ControllerHarness(settings_with(max_attempts=before))
+            call, _ = harness.offer(1)
+            harness.handle(i.SettingsChanged(settings_with(max_attempts=after)))
+            actions = harness.end_attempt(call, 1, i.Outcome.TURNED_AWAY, i.Cause.NO_CIRCUIT)
+            self.assertEqual((bool(sent_to(actions)), bool(final_answers(actions))), (more, not more))
 
     def test_a_call_in_line_that_is_out_of_attempts_is_answered_at_once(self) -> None:
-        bench = Bench(far=1)
-        call, _ = bench.offer(1)
-        bench.told(1, 0)
-        self.assertEqual(finals(bench.ended(call, 1, i.Outcome.TURNED_AWAY, i.Cause.NO_CIRCUIT)), [])
-        self.assertEqual(finals(bench.do(i.SettingsChanged(changed(max_attempts=1)))), [call])
+        harness = ControllerHarness(remote_exchanges=1)
+        call, _ = harness.offer(1)
+        harness.report(1, 0)
+        self.assertEqual(final_answers(harness.end_attempt(call, 1, i.Outcome.TURNED_AWAY, i.Cause.NO_CIRCUIT)), [])
+        self.assertEqual(final_answers(harness.handle(i.SettingsChanged(settings_with(max_attempts=1)))), [call])
 
     def test_a_call_keeps_its_class(self) -> None:
-        bench = Bench()
-        call, _ = bench.offer(1, cls=2)
-        bench.do(i.SettingsChanged(changed(classes=SETTINGS.classes[:1])))
-        self.assertEqual(bench.controller.calls[call].cls.name, "urgent")
-        self.assertEqual(finals(bench.stands(call, 1)), [])
+        harness = ControllerHarness()
+        call, _ = harness.offer(1, cls=2)
+        harness.handle(i.SettingsChanged(settings_with(classes=SETTINGS.classes[:1])))
+        self.assertEqual(harness.controller.calls[call].call_class.name, "urgent")
+        self.assertEqual(final_answers(harness.answer(call, 1)), [])
 
     def test_a_call_that_may_run_once_fails_where_it_may_have_run(self) -> None:
-        at_most_once = changed(classes=tuple(replace(c, at_most_once=True) for c in SETTINGS.classes))
+        at_most_once = settings_with(classes=tuple(replace(c, at_most_once=True) for c in SETTINGS.classes))
         cases = {
             i.Outcome.CUT: i.Fail, i.Outcome.TIMED_OUT: i.Fail, i.Outcome.NO_LINE: i.Fail,
             i.Outcome.TURNED_AWAY: i.SendSetup, i.Outcome.UNREACHABLE: i.SendSetup,
         }  # fmt: skip
         for outcome, action in cases.items():
-            bench = Bench(at_most_once)
-            call, _ = bench.offer(1)
+            harness = ControllerHarness(at_most_once)
+            call, _ = harness.offer(1)
             cause = i.Cause.NUMBER_BUSY if outcome is i.Outcome.NO_LINE else i.Cause.NONE
-            actions = bench.ended(call, 1, outcome, cause)
+            actions = harness.end_attempt(call, 1, outcome, cause)
             actions = [a for a in actions if isinstance(a, i.Fail | i.Refuse | i.SendSetup)]
             self.assertEqual([type(a) for a in actions], [action], outcome)
 
