--- a/latchturn/brain.py
+++ b/latchturn/brain.py
@@ -1,8 +1,9 @@
-"""Every decision of the call controller. Its interface is latchturn/interface.py.
+"""The decision module: decides for each call where to send it, when to queue it and when to refuse it.
 
-The ordinary path is the upper-limit and guaranteed-minimum test of Choudhury, Leung and Whitt on each
-own trunk group, direct route first, else the tandem with most told free circuits (docs/design.md).
-All else is a guard, and says at its place what it guards against and when it acts.
+The basic rule is the upper-limit and guaranteed-minimum admission test of Choudhury, Leung and Whitt on
+each of the own trunk groups: the direct route first, otherwise the tandem whose trunk group has the most
+free circuits by its last report (docs/design.md). Every other rule is a guard, and the comment or
+docstring at its place states what it prevents and when it acts. The interface is latchturn/interface.py.
 """
 
 from __future__ import annotations
@@ -13,104 +14,115 @@
 from . import interface as i
 from .interface import FinalReason as Reason
 
-DIRECT, TWO_LEG = 0, 1  # classes of the ledger
-NEVER_RAN = (i.Outcome.TURNED_AWAY, i.Outcome.NOT_SENT, i.Outcome.UNREACHABLE)
-MINIMUM_SHARE = 0.3  # minimum of direct calls, as a share of the group
-NEVER = (0, 0)  # no times in a row, no pause
-NO_LIMIT = 1 << 30  # of direct calls
-TWO_LEG_SHARE = 0.5  # upper limit of two-leg calls, as a share of the group
-
-# A call without a route waits in the proxy for a circuit, since a refused caller only dials again and
-# costs another look; past this share of its aim a set-up would come too late to earn the full worth.
-WAIT_SHARE = 0.75
-DIRECT_TIMEOUT = 1.0  # x aim from the offer: later than that a set-up earns little and ties circuits up
-TWO_LEG_TIMEOUT = 0.7  # x aim: a tandem that is silent for so long is not worth waiting for
-MIN_TIMEOUT = 0.2  # x shortest aim, if the caller stays as long: a shorter time-out cuts set-ups under way
-SOON = 0.05  # x shortest aim: a caller whose attempts are used up is told to come back so soon
-LEAST_TIME = 0.5  # x usual set-up time: with less than that left an attempt is not worth its work
-ANSWER_MARGIN = 0.05  # x shortest aim: final answers of waiting calls leave so long before the deadline
-USUAL_START = 0.1  # x shortest aim: usual set-up time before the first answer
-ANSWER_FADE = 0.05  # weight of each answer in the usual set-up time and in the share turned back
-
-# Window of set-ups out at one exchange: grows with each prompt answer, shrinks with each slow one.
-WINDOW_START = 2.0  # a call and its neighbour, before anything is known
-WINDOW_MOST = 4.0  # some proxies' windows together must not queue more work than fits in the aim
-PROMPT_SHARE = 0.25  # of the shortest aim: an answer within it leaves room for the far end's other work
-SHRINK = 0.7  # for each round of slow answers: three rounds bring the widest window to the pressed mark
-TWO_LEG_WINDOW = 2.0  # below this window, or with a report of pressure, an exchange carries no transit
-HOLD_BACK_PRESSED = 0.1  # share to hold back from which a report means pressure
-
-SILENCES = 2  # attempts in a row that ended in silence make an exchange suspect
-RETRY_FIRST = 2.0  # x release time: first pause before a suspect is tried again, doubled each time
-RETRY_MOST = 8.0  # x release time
-BUSY_GAP = 0.25  # x shortest aim x proxies between two set-ups to a busy number: every proxy tries it
-# Pause of a tandem for a destination after it turned a call back, in shortest aims; doubled with each more
-# up to the most, until a call over that tandem stands.
-TURN_BACK_FIRST = 4.0
-TURN_BACK_MOST = 24.0
-BACKS_MANY = 0.5  # share of two-leg set-ups turned back from which proven tandems come first
-COLD_TURN = 0.5  # share of the time between two turns in which a turn may be used
-COLD_SAFETY = 0.7  # share used of what pushes a cold processor over: set-ups bunch, redials come on top
-MAX_BUSY_NUMBERS = 500  # busy numbers remembered
-MAX_REDIAL_RECORDS = 4000  # called numbers remembered with their caller's first try
-LATE_RESERVE = 0.1  # of the group left free by calls past their aim, which earn little and hold as long
+# Traffic classes of a trunk group. A two-leg call reaches its destination over a tandem, and so takes up
+# circuits of two groups.
+DIRECT, TWO_LEG = 0, 1
+# Outcomes after which the attempt has certainly not been set up.
+NEVER_SET_UP = (i.Outcome.TURNED_AWAY, i.Outcome.NOT_SENT, i.Outcome.UNREACHABLE)
+DIRECT_MINIMUM_SHARE = 0.3  # of a group's circuits: guaranteed minimum of direct calls
+NO_REFUSALS = (0, 0)  # default in `Exchange.tandem_back_offs`: refusals in a row, end of the back-off
+NO_LIMIT = 1 << 30  # circuits: upper limit of direct calls
+TWO_LEG_LIMIT_SHARE = 0.5  # of a group's circuits: upper limit of two-leg calls
+
+# A call without a route is queued here for a circuit, because a refused caller only redials and costs
+# another decision. It is queued for this share of its target set-up time at most: a later set-up would miss
+# the target and not earn the full value.
+QUEUE_SHARE = 0.75
+# Time-outs of set-ups, as a share of the class's target set-up time.
+DIRECT_TIMEOUT_SHARE = 1.0  # from the first dial: a later set-up earns little and ties circuits up
+TWO_LEG_TIMEOUT_SHARE = 0.7  # a tandem that has not answered by then is not worth waiting for
+# Further times, as a share of the shortest target set-up time of all classes where nothing else is stated.
+MIN_TIMEOUT_SHARE = 0.2  # minimum time-out, unless the deadline is nearer: a shorter one cuts set-ups under way
+CHANCE_RETRY_SHARE = 0.05  # minimum retry-after of a caller whose attempts are used up
+MIN_TIME_LEFT_SHARE = 0.5  # of the usual set-up time: with less time left an attempt is not worth its work
+FINAL_ANSWER_MARGIN_SHARE = 0.05  # time before the deadline at which a queued call gets its final answer
+INITIAL_SET_UP_SHARE = 0.1  # usual set-up time that is assumed before the first answer
+SMOOTHING_WEIGHT = 0.05  # weight of each answer in the usual set-up time and in the share refused by tandems
+
+# Congestion window: how many set-ups may be outstanding at one exchange. Each prompt answer widens it, each
+# round of slow answers narrows it.
+INITIAL_WINDOW = 2.0  # one call and the next, before anything is known of the exchange
+MAX_WINDOW = 4.0  # the windows of several controllers together must not queue more work than fits in the target
+PROMPT_ANSWER_SHARE = 0.25  # of the shortest target: an answer within it leaves the exchange time for other work
+WINDOW_SHRINK_FACTOR = 0.7  # two rounds of slow answers bring the widest window below MIN_TANDEM_WINDOW
+MIN_TANDEM_WINDOW = 2.0  # an exchange with a narrower window is congested and carries no transit calls
+CONGESTION_THROTTLE_SHARE = 0.1  # a reported throttle share from which the exchange is congested
+
+# Back-off of an exchange that does not answer.
+BACK_OFF_THRESHOLD = 2  # unanswered attempts in a row from which it is backed off
+FIRST_BACK_OFF = 2.0  # x release time; doubled with each further unanswered attempt
+MAX_BACK_OFF = 8.0  # x release time
+BUSY_NUMBER_GAP = 0.25  # x shortest target x controllers, between set-ups to a busy number: all controllers try it
+# Back-off of a tandem for one destination after it refused a call to it, in shortest target times. Each further
+# refusal doubles it, and a call answered over that tandem ends it.
+FIRST_TANDEM_BACK_OFF = 4.0
+MAX_TANDEM_BACK_OFF = 24.0
+PROVEN_FIRST_SHARE = 0.5  # share of two-leg set-ups refused by tandems from which proven tandems come first
+TURN_OPEN_SHARE = 0.5  # share of the gap between two warm-up turns during which a turn may be used
+WARM_UP_SAFETY = 0.7  # share of the collapse rate that is used: set-ups bunch, and redials come on top
+MAX_BUSY_NUMBERS = 500  # entries of `Controller.busy_numbers`
+MAX_REDIAL_RECORDS = 4000  # entries of `Controller.redial_records`
+# Trunk reservation against calls past their target, which earn little and hold their circuits as long as others:
+# the share of a group that they must leave free.
+LATE_CALL_RESERVE = 0.1
 
 
 class TrunkGroup:
-    """Upper limits and guaranteed minimums on one own trunk group (Panel 3 with the design's test).
+    """Upper limits and guaranteed minimums on one own trunk group (Panel 3 of the paper, with the test of the design).
 
-    Two classes, both counted in circuits: direct calls of every width, and two-leg calls. One direct
-    class, since a wide class of its own would keep most of a thin group idle for its minimum.
+    There are two traffic classes, both counted in circuits: direct calls of every width, and two-leg calls.
+    Direct calls are one class, because a class of its own for wide calls would keep most of a small group
+    idle for its minimum.
     """
 
     def __init__(self) -> None:
         self.size_known = False
         self.size = 0
-        self.free_circuits = 0
+        self.free_circuits = 0  # last report, less what was seized since
         self.in_use = [0, 0]
         self.minimum = [0, 0]
         self.limit = [NO_LIMIT, 0]
-        self.unreserved = 0  # F of the paper
+        self.unreserved = 0  # F of the paper: circuits that are neither in use nor kept for a minimum
 
     def resize(self, size: int) -> None:
-        """Set bounds for a size; standing calls keep their place."""
+        """Set the limit and the minimum for a size; calls in progress stay counted."""
         self.size_known = True
         self.size = size
-        self.minimum[DIRECT] = min(size, max(1, int(MINIMUM_SHARE * size)))
-        self.limit[TWO_LEG] = min(max(1, int(TWO_LEG_SHARE * size)), max(0, size - 1))
+        self.minimum[DIRECT] = min(size, max(1, int(DIRECT_MINIMUM_SHARE * size)))
+        self.limit[TWO_LEG] = min(max(1, int(TWO_LEG_LIMIT_SHARE * size)), max(0, size - 1))
         self.unreserved = size - sum(max(low, n) for low, n in zip(self.minimum, self.in_use))
 
-    def admits(self, cls: int, width: int) -> bool:
-        """The design's test, and the told free circuits."""
+    def admits(self, traffic_class: int, width: int) -> bool:
+        """Whether a call may be sent: the limit and minimum test, and enough free circuits by the last report."""
         if not self.size_known:
-            # Exception, acts until the first word of the circuits: direct calls try, two-leg calls do not.
-            return cls == DIRECT
-        if self.in_use[cls] + width > self.limit[cls]:
+            # Exception until the first report of the circuits: direct calls are admitted, two-leg calls are not.
+            return traffic_class == DIRECT
+        if self.in_use[traffic_class] + width > self.limit[traffic_class]:
             return False
-        # Exception, acts while F is below nought: a shrunken group does not fit the minimums, so the told
+        # Exception while F is negative: a group that has shrunk has no room for the minimums, so the reported
         # free circuits alone decide for direct calls.
-        shrunken = self.unreserved < 0 and cls == DIRECT
-        if not (self.in_use[cls] < self.minimum[cls] or width <= self.unreserved or shrunken):
+        shrunken = self.unreserved < 0 and traffic_class == DIRECT
+        if not (self.in_use[traffic_class] < self.minimum[traffic_class] or width <= self.unreserved or shrunken):
             return False
-        unfilled = max(0, self.minimum[DIRECT] - self.in_use[DIRECT]) if cls == TWO_LEG else 0
+        unfilled = max(0, self.minimum[DIRECT] - self.in_use[DIRECT]) if traffic_class == TWO_LEG else 0
         return self.free_circuits >= width + unfilled
 
-    def seize(self, cls: int, width: int) -> None:
-        """Enter a call."""
+    def seize(self, traffic_class: int, width: int) -> None:
+        """Count the circuits of a call that is sent."""
         self.free_circuits -= width
-        before = max(self.in_use[cls], self.minimum[cls])
-        self.in_use[cls] += width
-        self.unreserved -= max(self.in_use[cls], self.minimum[cls]) - before
+        before = max(self.in_use[traffic_class], self.minimum[traffic_class])
+        self.in_use[traffic_class] += width
+        self.unreserved -= max(self.in_use[traffic_class], self.minimum[traffic_class]) - before
 
-    def release(self, cls: int, width: int) -> None:
-        """Take a call out; its circuits are free when they are told so."""
-        before = max(self.in_use[cls], self.minimum[cls])
-        self.in_use[cls] -= width
-        self.unreserved += before - max(self.in_use[cls], self.minimum[cls])
+    def release(self, traffic_class: int, width: int) -> None:
+        """Stop counting a call. Its circuits are free again only when the exchange reports them."""
+        before = max(self.in_use[traffic_class], self.minimum[traffic_class])
+        self.in_use[traffic_class] -= width
+        self.unreserved += before - max(self.in_use[traffic_class], self.minimum[traffic_class])
 
 
 class Exchange:
-    """What is known of one far exchange."""
+    """What is known of one remote exchange."""
 
     def __init__(self, exchange: int, number: int, group: TrunkGroup) -> None:
         self.exchange_id = exchange
@@ -118,89 +130,97 @@
         self.group = group
         self.ready = False
         self.warm_up_until = 0
-        self.outstanding = 0  # attempts out that are not answered yet
-        self.window = WINDOW_START
+        self.outstanding = 0  # attempts sent and not answered yet
+        self.window = INITIAL_WINDOW
         self.last_shrunk_us = 0
-        self.blocked_until = 0  # no set-up before this (named waits, suspicion)
-        self.consecutive_unanswered = 0
+        self.blocked_until = 0  # no set-up before this: back-off, or a wait that the exchange asked for
+        self.consecutive_unanswered = 0  # attempts in a row
         self.last_answer_us = 0
-        self.throttle_share = 0.0
-        self.max_reported_rate = 0.0  # most set-ups a second that it ever reported
-        self.tandem_back_offs: dict[int, tuple[int, int]] = {}  # destination number -> times in a row, until when
-        self.reached_destinations: set[int] = set()  # destinations to which a call over this tandem has stood
-        self.next_turn_us = 0  # no set-up before this while it is cold
+        self.throttle_share = 0.0  # last report
+        self.max_reported_rate = 0.0  # set-ups a second, the highest that it ever reported
+        # Destination number -> refusals in a row of calls to it over this tandem, and end of the back-off.
+        self.tandem_back_offs: dict[int, tuple[int, int]] = {}
+        self.reached_destinations: set[int] = set()  # destinations to which a call over this tandem was answered
+        self.next_turn_us = 0  # no set-up before this during the warm-up
 
     def accepts_set_up(self, now: int) -> bool:
-        """Whether a set-up may be sent at all: list state, window, suspicion."""
+        """Whether a set-up may be sent at all, by list state, back-off and congestion window."""
         return self.ready and now >= self.blocked_until and self.outstanding < self.window
 
     def congested(self) -> bool:
-        """Whether its processor shows pressure, by its answers or by its reports."""
+        """Whether its processor seems overloaded, by its answers or by its reports."""
         return (
-            self.window < TWO_LEG_WINDOW or self.throttle_share >= HOLD_BACK_PRESSED or self.consecutive_unanswered > 0
+            self.window < MIN_TANDEM_WINDOW
+            or self.throttle_share >= CONGESTION_THROTTLE_SHARE
+            or self.consecutive_unanswered > 0
         )
 
 
 @dataclass(slots=True)
 class Call:
-    """One call's life."""
+    """The state of one call, from the offer to the end."""
 
     offer: i.CallOffered
-    cls: i.CallClass
-    first_us: int  # when the caller first tried
-    most: int  # attempts, by the settings with which it was offered
+    call_class: i.CallClass
+    first_dialled_us: int  # when its caller first dialled the number
+    attempts_allowed: int  # by the settings in force when it was offered
     attempts: int = 0
-    at: Exchange | None = None  # where its attempt or its standing circuits are
+    sent_to: Exchange | None = None  # exchange that has its attempt or, once answered, the call
     two_leg: bool = False
     sent_us: int = 0
-    out: bool = False
-    not_before: int = 0  # release rule
-    waiting: bool = False
-    until: int = 0  # end of its wait
-    left: bool = False
-    tried: list[int] = field(default_factory=list)
+    awaiting_answer: bool = False
+    not_before_us: int = 0  # no further attempt before this: the last one is still being released
+    queued: bool = False
+    queue_until_us: int = 0  # end of its time in the queue
+    caller_left: bool = False
+    tandems_tried: list[int] = field(default_factory=list)  # exchange numbers
 
     @property
     def value_per_circuit(self) -> float:
-        """Worth for each circuit."""
+        """The value of the call for each circuit that it takes up."""
         return self.call_class.value / self.offer.width
 
 
 class Controller:
-    """The decisions of one proxy."""
+    """The decisions of one session controller.
+
+    Takes events and the time, returns actions, and does no input or output of its own.
+    """
 
     def __init__(self, settings: i.Settings, seed: int) -> None:
-        self._use(settings)
+        self._apply_settings(settings)
         self.random = random.Random(seed)
-        self.tandem_refusal_share = 0.0  # share of two-leg set-ups that came back, smoothed
-        self.usual_set_up_us = USUAL_START * self.shortest_target_us  # set-up time of direct calls, smoothed
+        self.tandem_refusal_share = 0.0  # share of two-leg set-ups that tandems refused, smoothed
+        self.usual_set_up_us = INITIAL_SET_UP_SHARE * self.shortest_target_us  # set-up time of direct calls, smoothed
         number = settings.own_number
-        # Place among all proxies, from 0 to 1: numbers in a row lie evenly at steps of the golden ratio.
+        # Offset of the warm-up turns within a gap, from 0 to 1. Steps of the golden ratio spread the offsets of
+        # controllers with consecutive numbers evenly.
         self.turn_offset = number * 0.618034 % 1.0 if number >= 0 else self.random.random()
         self.exchanges: dict[int, Exchange] = {}
         self.groups: dict[int, TrunkGroup] = {}
-        self.by_number: dict[int, Exchange] = {}
+        self.by_number: dict[int, Exchange] = {}  # of several with one number a ready one
         self.calls: dict[int, Call] = {}
-        self.queues: dict[int, list[Call]] = {}  # calls that wait, by destination
-        self.timers: dict[int, int] = {}  # token -> call, -1 for the list
+        self.queues: dict[int, list[Call]] = {}  # destination number -> queued calls
+        self.timers: dict[int, int] = {}  # token -> call, or -1 to subscribe to the exchange list
         self.next_token = 1
-        self.busy_numbers: dict[int, int] = {}  # called number -> when it may be tried again
-        self.redial_records: dict[int, int] = {}  # called number -> first try of the caller whose try failed last
-        self.redials_marked = False  # whether redials have been seen to be marked
-        self.first_dial_rate = 0.0  # own first tries a second, smoothed over the warm-up time
+        self.busy_numbers: dict[int, int] = {}  # called number -> when the next set-up to it may be sent
+        # Called number -> first dial of the caller whose call to it failed last.
+        self.redial_records: dict[int, int] = {}
+        self.redials_marked = False  # whether any call offered so far was marked as a redial
+        self.first_dial_rate = 0.0  # own calls a second without redials, smoothed over the warm-up time
         self.last_first_dial_us = 0
         self.started = False
         self.actions: list[i.Action] = []
         self.now = 0
 
-    def _use(self, settings: i.Settings) -> None:
+    def _apply_settings(self, settings: i.Settings) -> None:
         validate(settings)
         self.settings = settings
         self.uses_pools = settings.topology is i.Topology.POOLS
         self.shortest_target_us = min(c.target_us for c in settings.classes)
 
     def handle(self, now_us: int, event: i.Event) -> list[i.Action]:
-        """What to do about one event."""
+        """Take one event at time `now_us` (microseconds) and return the actions to carry out, in order."""
         self.actions = []
         self.now = now_us
         if not self.started:
@@ -208,43 +228,44 @@
             if self.settings.list_on_request:
                 self.actions.append(i.SubscribeToList())
         if isinstance(event, i.CallOffered):
-            self._offered(event)
+            self._on_call_offered(event)
         elif isinstance(event, i.AttemptEnded):
-            self._ended(event)
+            self._on_attempt_ended(event)
         elif isinstance(event, i.CallAnswered):
-            self._stands(event)
+            self._on_call_answered(event)
         elif isinstance(event, i.ExchangeReport):
-            self._told(event)
+            self._on_exchange_report(event)
         elif isinstance(event, i.TimerDue):
-            self._timer(event)
+            self._on_timer(event)
         elif isinstance(event, i.ExchangeList):
-            self._list(event)
+            self._on_exchange_list(event)
         elif isinstance(event, i.CallerLeft):
-            self._left(event)
+            self._on_caller_left(event)
         elif isinstance(event, i.SettingsChanged):
-            self._use(event.settings)
-            for number in list(self.queues):  # calls in line may be out of attempts now
-                self._serve(number)
+            self._apply_settings(event.settings)
+            for number in list(self.queues):  # queued calls may have no attempts left now
+                self._serve_queue(number)
         return self.actions
 
     def backed_off(self, now_us: int) -> int:
-        """How many listed exchanges are sent nothing for now, since they were silent or full."""
+        """Number of listed exchanges that get no set-ups now, because they did not answer or were full."""
         return sum(e.blocked_until > now_us for e in self.exchanges.values())
 
     # --- the exchange list ---
 
-    def _list(self, event: i.ExchangeList) -> None:
+    def _on_exchange_list(self, event: i.ExchangeList) -> None:
+        """Apply a list message, then serve the queues, since destinations may have changed."""
         if event.kind is i.ListKind.FAILED:
             if self.settings.list_on_request:
                 self._set_timer(int(self.settings.release_us * (1 + self.random.random())), -1)
             return
-        named = set()
+        listed = set()
         for entry in event.entries:
-            named.add(entry.exchange)
-            self._entry(entry)
+            listed.add(entry.exchange)
+            self._apply_entry(entry)
         if event.kind is not i.ListKind.CHANGES:
-            for ident in [ident for ident in self.exchanges if ident not in named]:
-                self._forget(ident)
+            for ident in [ident for ident in self.exchanges if ident not in listed]:
+                self._remove_exchange(ident)
         self.by_number = {}
         for exchange in self.exchanges.values():
             if exchange.ready or exchange.number not in self.by_number:
@@ -252,19 +273,23 @@
         for number in [n for n, g in self.groups.items() if n not in self.by_number and not any(g.in_use)]:
             del self.groups[number]
         for number in list(self.queues):
-            self._serve(number)
+            self._serve_queue(number)
+
+    def _remove_exchange(self, ident: int) -> None:
+        """Forget an exchange that is no longer listed. Its calls keep a reference to it until they end.
 
-    def _forget(self, ident: int) -> None:
-        """Guards the memory on long days: an exchange that has gone lives on in its last calls alone."""
+        Without this, memory would grow with every exchange that is replaced.
+        """
         gone = self.exchanges.pop(ident, None)
         if gone is not None and gone.ready:
             gone.ready = False
-            self._log(f"exchange {gone.number} is gone")
+            self._log(f"exchange {gone.number} was removed from the exchange list")
 
-    def _entry(self, entry: i.ListEntry) -> None:
+    def _apply_entry(self, entry: i.ListEntry) -> None:
+        """Add, update or remove one exchange; one that has just restarted begins its warm-up."""
         known = self.exchanges.get(entry.exchange)
         if entry.state is i.ListState.GONE:
-            self._forget(entry.exchange)
+            self._remove_exchange(entry.exchange)
             return
         if known is None:
             group = self.groups.setdefault(entry.number, TrunkGroup())
@@ -274,376 +299,438 @@
         if warm_up_until != known.warm_up_until:
             known.warm_up_until = warm_up_until
             if warm_up_until > self.now:
-                known.window = WINDOW_START
+                known.window = INITIAL_WINDOW
                 known.blocked_until = known.consecutive_unanswered = 0
-                known.next_turn_us = self._cold_turn(known, self.now, self._warm_up_gap())
+                known.next_turn_us = self._next_warm_up_turn(known, self.now, self._warm_up_gap())
         if known.ready and not ready:
-            self._log(f"exchange {known.number} is not to be sent to")
+            self._log(f"exchange {known.number} is draining and gets no new set-ups")
         known.ready = ready
 
     # --- calls ---
 
-    def _offered(self, offer: i.CallOffered) -> None:
+    def _on_call_offered(self, offer: i.CallOffered) -> None:
+        """Send a new call, or queue it, or refuse it if neither is of use."""
         if not 0 <= offer.class_index < len(self.settings.classes):
             self.actions.append(i.Refuse(offer.call, 0, Reason.CLASS_UNKNOWN))
             return
         if offer.call in self.calls:
             return
-        cls = self.settings.classes[offer.class_index]
-        call = Call(offer, cls, self._first_try(offer), self.settings.max_attempts)
+        call_class = self.settings.classes[offer.class_index]
+        call = Call(offer, call_class, self._first_dial_time(offer), self.settings.max_attempts)
         if offer.destination == self.settings.own_number and not self.uses_pools:
             self.actions.append(i.Refuse(offer.call, 0, Reason.OWN_EXCHANGE))
             return
         self.calls[offer.call] = call
-        if not offer.transit and call.first_us == self.now:
+        if not offer.transit and call.first_dialled_us == self.now:
             gap = max(1, self.now - self.last_first_dial_us)
-            fade = min(1.0, gap / self.settings.warm_up_us)
-            self.first_dial_rate += fade * (1e6 / gap - self.first_dial_rate)
+            weight = min(1.0, gap / self.settings.warm_up_us)
+            self.first_dial_rate += weight * (1e6 / gap - self.first_dial_rate)
             self.last_first_dial_us = self.now
-        if self._number_busy(offer.called_number):
+        if self._number_deferred(offer.called_number):
             self._refuse(call, self.settings.max_retry_after_us, Reason.NUMBER_BUSY)
         elif not self._route(call):
             if offer.transit:
                 self._refuse(call, 0, Reason.NO_TRANSIT_ROUTE)
-            elif self._late(call):
-                self._refuse(call, self._stay_away(call), Reason.PAST_AIM)
+            elif self._past_target(call):
+                self._refuse(call, self._retry_after(call), Reason.PAST_AIM)
             else:
                 self._enqueue(call)
 
-    def _first_try(self, offer: i.CallOffered) -> int:
-        """When this caller first tried: a call to a number whose last try failed is that caller again.
+    def _first_dial_time(self, offer: i.CallOffered) -> int:
+        """When the caller of this call first dialled: a call to a number whose last call failed is a redial of it.
 
-        Guards against redials that crowd out calls still within their aim. A try that stood does not count,
-        each failed try counts for one call, and where redials are marked an unmarked call is a first try.
+        Prevents redials from crowding out calls that are still within their target set-up time. An answered
+        call leaves no record, each failed call makes one later call a redial, and in a network that marks
+        redials an unmarked call is a first dial.
         """
         if offer.transit:
             return self.now
         self.redials_marked = self.redials_marked or offer.redialled
         first = self.redial_records.pop(offer.called_number, self.now)
         give_up = self.settings.classes[offer.class_index].give_up_us
-        fresh = offer.cut_before or (self.redials_marked and not offer.redialled)
-        return self.now if fresh or self.now - first > give_up else first
+        is_first_dial = offer.cut_before or (self.redials_marked and not offer.redialled)
+        return self.now if is_first_dial or self.now - first > give_up else first
 
-    def _failed(self, call: Call) -> None:
-        """Forget a call that did not stand, but for when its caller first tried."""
+    def _remove_unanswered(self, call: Call) -> None:
+        """Forget a call that was not answered, but keep the time of its caller's first dial."""
         del self.calls[call.offer.call]
         if call.offer.called_number and not call.offer.transit:
-            _keep(self.redial_records, call.offer.called_number, call.first_us, MAX_REDIAL_RECORDS)
+            _remember(self.redial_records, call.offer.called_number, call.first_dialled_us, MAX_REDIAL_RECORDS)
 
-    def _late(self, call: Call) -> bool:
-        return self.now - call.first_us >= call.call_class.target_us
+    def _past_target(self, call: Call) -> bool:
+        """Whether the target set-up time of a call is over, counted from its caller's first dial."""
+        return self.now - call.first_dialled_us >= call.call_class.target_us
 
     def _route(self, call: Call) -> bool:
-        """Send the call if the ordinary path and the guards admit it."""
+        """Send the call if a route and all guards admit it, and return whether it was sent.
+
+        A call past its target is sent on the direct route alone, not to a congested exchange, and only if it
+        leaves LATE_CALL_RESERVE of the trunk group free. A transit call is sent to its destination alone, and
+        not if that is congested. Nothing goes over a tandem to a destination that is congested or warming up:
+        its processor has to handle the call all the same.
+        """
         offer = call.offer
-        if self._attempts_used_up(call) or self.now < call.not_before or self._hopeless(call):
+        if self._attempts_used_up(call) or self.now < call.not_before_us or self._too_little_time(call):
             return False
-        target = self.by_number.get(offer.destination)
-        if target is None or not target.ready:
+        destination_exchange = self.by_number.get(offer.destination)
+        if destination_exchange is None or not destination_exchange.ready:
             return False
-        group = target.group
-        cls = TWO_LEG if offer.transit else DIRECT
-        late = self._late(call) and not offer.transit
-        reserve = LATE_RESERVE * group.size
-        if late and (target.congested() or group.free_circuits - offer.width < reserve):
+        group = destination_exchange.group
+        traffic_class = TWO_LEG if offer.transit else DIRECT
+        late = self._past_target(call) and not offer.transit
+        reserve = LATE_CALL_RESERVE * group.size
+        if late and (destination_exchange.congested() or group.free_circuits - offer.width < reserve):
             return False
-        closed = not target.accepts_set_up(self.now) or (target.congested() if offer.transit else self._yields(call))
-        closed = closed or (self._cold(target) and not self._cold_open(target))
-        if not closed and group.admits(cls, offer.width):
-            begin = self.now if late else call.first_us
-            self._send(call, target, cls, int(begin + call.call_class.target_us * DIRECT_TIMEOUT - self.now))
+        direct_blocked = not destination_exchange.accepts_set_up(self.now) or (
+            destination_exchange.congested() if offer.transit else self._wider_call_queued(call)
+        )
+        direct_blocked = direct_blocked or (
+            self._warming_up(destination_exchange) and not self._warm_up_turn_open(destination_exchange)
+        )
+        if not direct_blocked and group.admits(traffic_class, offer.width):
+            begin = self.now if late else call.first_dialled_us
+            self._send(
+                call,
+                destination_exchange,
+                traffic_class,
+                int(begin + call.call_class.target_us * DIRECT_TIMEOUT_SHARE - self.now),
+            )
             return True
-        if offer.transit or late or target.congested() or self._cold(target):
+        if offer.transit or late or destination_exchange.congested() or self._warming_up(destination_exchange):
             return False
-        best = self._tandem(call)
+        best = self._best_tandem(call)
         if best is None:
             return False
-        self._send(call, best, TWO_LEG, int(call.call_class.target_us * TWO_LEG_TIMEOUT))
+        self._send(call, best, TWO_LEG, int(call.call_class.target_us * TWO_LEG_TIMEOUT_SHARE))
         return True
 
-    def _tandem(self, call: Call) -> Exchange | None:
-        """The tandem whose first leg admits the call, with most told free circuits.
+    def _best_tandem(self, call: Call) -> Exchange | None:
+        """The tandem with the most free circuits among those whose trunk group admits the call.
 
-        Guards against onward groups that are thin or not there, which no proxy is told: while two-leg set-ups
-        mostly come back, tandems that have reached the destination come first, and a call tries one other.
+        Prevents repeated set-ups over tandems whose trunk group onward is small or missing, which is not
+        reported to any controller: while tandems refuse at least PROVEN_FIRST_SHARE of the two-leg set-ups,
+        tandems that have reached the destination before come first, and a call tries one other at most.
         """
         offer = call.offer
         best, best_rank = None, (False, 0)
-        proven_first = self.tandem_refusal_share >= BACKS_MANY
+        proven_first = self.tandem_refusal_share >= PROVEN_FIRST_SHARE
         for number, tandem in self.by_number.items():
-            if number in (offer.destination, self.settings.own_number) or number in call.tried:
+            if number in (offer.destination, self.settings.own_number) or number in call.tandems_tried:
                 continue
             if self.uses_pools and number not in call.call_class.pools:
                 continue
-            if not tandem.accepts_set_up(self.now) or tandem.congested() or self._cold(tandem):
+            if not tandem.accepts_set_up(self.now) or tandem.congested() or self._warming_up(tandem):
                 continue
-            if tandem.tandem_back_offs.get(offer.destination, NEVER)[1] > self.now:
+            if tandem.tandem_back_offs.get(offer.destination, NO_REFUSALS)[1] > self.now:
                 continue
             if not tandem.group.admits(TWO_LEG, offer.width):
                 continue
             proven = proven_first and offer.destination in tandem.reached_destinations
-            if proven_first and not proven and call.tried:
+            if proven_first and not proven and call.tandems_tried:
                 continue
             rank = (proven, tandem.group.free_circuits)
             if best is None or rank > best_rank:
                 best, best_rank = tandem, rank
         return best
 
-    def _send(self, call: Call, to: Exchange, cls: int, timeout: int) -> None:
-        """Send a set-up and enter it; the time-out is kept between the least that works and the deadline."""
-        to.group.seize(cls, call.offer.width)
-        if self._cold(to):
+    def _send(self, call: Call, chosen: Exchange, traffic_class: int, timeout: int) -> None:
+        """Send a set-up and count it.
+
+        The time-out is raised to MIN_TIMEOUT_SHARE of the shortest target, but never goes past the deadline.
+        """
+        chosen.group.seize(traffic_class, call.offer.width)
+        if self._warming_up(chosen):
             gap = self._warm_up_gap()
-            to.next_turn_us = self._cold_turn(to, self.now + gap // 2, gap)
-        to.outstanding += 1
-        call.at, call.two_leg, call.sent_us, call.awaiting_answer = to, cls == TWO_LEG, self.now, True
+            chosen.next_turn_us = self._next_warm_up_turn(chosen, self.now + gap // 2, gap)
+        chosen.outstanding += 1
+        call.sent_to, call.two_leg, call.sent_us, call.awaiting_answer = (
+            chosen,
+            traffic_class == TWO_LEG,
+            self.now,
+            True,
+        )
         call.attempts += 1
         if call.two_leg and not call.offer.transit:
-            call.tried.append(to.number)
-        if call.waiting:
-            self._leave_line(call)
-        timeout = min(call.offer.deadline_us - self.now, max(timeout, int(MIN_TIMEOUT * self.shortest_target_us)))
-        self.actions.append(i.SendSetup(call.offer.call, to.exchange_id, timeout))
+            call.tandems_tried.append(chosen.number)
+        if call.queued:
+            self._dequeue(call)
+        timeout = min(call.offer.deadline_us - self.now, max(timeout, int(MIN_TIMEOUT_SHARE * self.shortest_target_us)))
+        self.actions.append(i.SendSetup(call.offer.call, chosen.exchange_id, timeout))
 
     def _attempts_used_up(self, call: Call) -> bool:
-        """Whether a call may have no further attempt, by what it was offered with or what counts now."""
-        return call.attempts >= min(call.most, self.settings.max_attempts)
+        """Whether a call has no attempt left, by the lower of the limits at its offer and now."""
+        return call.attempts >= min(call.attempts_allowed, self.settings.max_attempts)
 
-    def _hopeless(self, call: Call) -> bool:
-        """Whether its caller leaves too soon for an attempt; where set-ups are quick little time will do."""
-        return call.offer.deadline_us - self.now < int(LEAST_TIME * self.usual_set_up_us)
+    def _too_little_time(self, call: Call) -> bool:
+        """Whether its deadline is too near for an attempt, compared with the usual set-up time."""
+        return call.offer.deadline_us - self.now < int(MIN_TIME_LEFT_SHARE * self.usual_set_up_us)
 
     def _enqueue(self, call: Call) -> None:
-        """Hold a call in line until a circuit or a window opens, or its aim or its deadline is near."""
-        aim_near = call.first_us + int(call.call_class.target_us * WAIT_SHARE)
-        least = max(int(ANSWER_MARGIN * self.shortest_target_us), int(LEAST_TIME * self.usual_set_up_us))
-        call.until = min(aim_near, call.offer.deadline_us - least)
-        if reason := self._given_up(call):
-            self._refuse(call, self._stay_away(call), reason)
+        """Queue a call until a circuit or a window opens, or until its target or its deadline is near."""
+        target_near = call.first_dialled_us + int(call.call_class.target_us * QUEUE_SHARE)
+        answer_margin = max(
+            int(FINAL_ANSWER_MARGIN_SHARE * self.shortest_target_us), int(MIN_TIME_LEFT_SHARE * self.usual_set_up_us)
+        )
+        call.queue_until_us = min(target_near, call.offer.deadline_us - answer_margin)
+        if reason := self._refusal_reason(call):
+            self._refuse(call, self._retry_after(call), reason)
             return
-        call.waiting = True
+        call.queued = True
         self.queues.setdefault(call.offer.destination, []).append(call)
-        self._set_timer(call.until - self.now, call.offer.call)
-        opens = self._opens(call)
-        if self.now < opens:
-            self._set_timer(opens - self.now, call.offer.call)
+        self._set_timer(call.queue_until_us - self.now, call.offer.call)
+        earliest = self._earliest_send(call)
+        if self.now < earliest:
+            self._set_timer(earliest - self.now, call.offer.call)
 
-    def _given_up(self, call: Call) -> Reason | None:
-        """Why a call in line can be sent no more, None if it still can.
+    def _refusal_reason(self, call: Call) -> Reason | None:
+        """Why a queued call cannot be sent any more, None if it still can.
 
-        Guards against a caller kept in line for nothing: its final answer is due at once, be the line's
-        end ever so far.
+        Prevents a call from staying queued to no purpose: with a reason its final answer is sent at once, however
+        much of its time in the queue is left.
         """
-        target = self.by_number.get(call.offer.destination)
-        if target is None or not target.ready:
+        destination_exchange = self.by_number.get(call.offer.destination)
+        if destination_exchange is None or not destination_exchange.ready:
             return Reason.DESTINATION_NOT_READY
         if self._attempts_used_up(call):
             return Reason.ATTEMPTS_USED
-        if self._hopeless(call):
+        if self._too_little_time(call):
             return Reason.TOO_LITTLE_TIME
-        if self.now >= call.until:
+        if self.now >= call.queue_until_us:
             return Reason.WAITED_OUT
-        return Reason.OPENS_TOO_LATE if self._opens(call) >= call.until else None
-
-    def _opens(self, call: Call) -> int:
-        """The first moment at which a call may be sent, as far as that is known now."""
-        target = self.by_number[call.offer.destination]
-        opens = max(call.not_before, target.next_turn_us if self._cold(target) else 0)
-        # An answer that is still out may end a pause early; under pressure no tandem serves in its place.
-        paused = target.congested() and target.outstanding == 0
-        return max(opens, target.blocked_until) if paused else opens
-
-    def _stay_away(self, call: Call) -> int:
-        """When a refused caller does well to come back: once a circuit is likely to have come free, as
-        standing calls end one by one, and a known pause is over; as late as callers allow where no circuit
-        is likely within its aim."""
-        target = self.by_number.get(call.offer.destination)
-        if target is None or not target.ready or not target.group.size_known:
+        return Reason.OPENS_TOO_LATE if self._earliest_send(call) >= call.queue_until_us else None
+
+    def _earliest_send(self, call: Call) -> int:
+        """The first time at which a call may be sent, as far as is known now."""
+        destination_exchange = self.by_number[call.offer.destination]
+        earliest = max(
+            call.not_before_us, destination_exchange.next_turn_us if self._warming_up(destination_exchange) else 0
+        )
+        # A back-off counts only while no set-up is outstanding, since an answer may end it early, and only if the
+        # destination is congested, since it may otherwise be reached over a tandem.
+        paused = destination_exchange.congested() and destination_exchange.outstanding == 0
+        return max(earliest, destination_exchange.blocked_until) if paused else earliest
+
+    def _retry_after(self, call: Call) -> int:
+        """The retry-after for a refused caller, in microseconds.
+
+        It ends when a circuit has probably come free, at the rate at which calls in progress end, and any known
+        back-off is over. If no circuit is likely to come free within the target, it is the longest allowed.
+        """
+        destination_exchange = self.by_number.get(call.offer.destination)
+        if destination_exchange is None or not destination_exchange.ready or not destination_exchange.group.size_known:
             return self.settings.max_retry_after_us
-        group = target.group
-        short = max(0, call.offer.width - group.free_circuits)
-        frees = int(short * call.call_class.holding_us / max(1, group.size - group.free_circuits))
-        if self.now + frees >= call.first_us + call.call_class.target_us:
+        group = destination_exchange.group
+        missing_circuits = max(0, call.offer.width - group.free_circuits)
+        frees_in_us = int(missing_circuits * call.call_class.holding_us / max(1, group.size - group.free_circuits))
+        if self.now + frees_in_us >= call.first_dialled_us + call.call_class.target_us:
             return self.settings.max_retry_after_us
-        # Guards against callers that come too late for their aim where nothing but chance stood in the way:
-        # an exchange that fails set-ups at random has used the call's attempts up.
-        soon = int(SOON * self.shortest_target_us) if self._attempts_used_up(call) else 0
-        return max(frees, self._opens(call) - self.now, soon)
+        # Without this, callers would redial too late for their target after an exchange that fails set-ups at
+        # random has used up their attempts.
+        chance_retry_us = int(CHANCE_RETRY_SHARE * self.shortest_target_us) if self._attempts_used_up(call) else 0
+        return max(frees_in_us, self._earliest_send(call) - self.now, chance_retry_us)
 
-    def _yields(self, call: Call) -> bool:
-        """Whether a wider call that is worth as much for each circuit waits for the same group.
+    def _wider_call_queued(self, call: Call) -> bool:
+        """Whether a wider call with at least the same value per circuit is queued for the same trunk group.
 
-        Guards against narrow calls that take every freed circuit before a wide one can have all of its own.
+        Prevents narrow calls from taking every circuit that comes free before a wide call can get all it needs.
         """
-        line = self.queues.get(call.offer.destination, ())
-        return any(c.offer.width > call.offer.width and c.value_per_circuit >= call.value_per_circuit for c in line)
-
-    def _leave_line(self, call: Call) -> None:
-        call.waiting = False
-        line = self.queues[call.offer.destination]
-        line.remove(call)
-        if not line:
+        queue = self.queues.get(call.offer.destination, ())
+        return any(c.offer.width > call.offer.width and c.value_per_circuit >= call.value_per_circuit for c in queue)
+
+    def _dequeue(self, call: Call) -> None:
+        call.queued = False
+        queue = self.queues[call.offer.destination]
+        queue.remove(call)
+        if not queue:
             del self.queues[call.offer.destination]
 
-    def _serve(self, number: int) -> None:
-        """Send waiting calls for a destination, the most worth for its circuits first."""
-        line = self.queues.get(number)
-        if not line:
+    def _serve_queue(self, number: int) -> None:
+        """Send the queued calls for a destination, by falling value per circuit, and refuse those that are too late."""
+        queue = self.queues.get(number)
+        if not queue:
             return
-        blocked = False
-        for call in sorted(line, key=lambda c: (-c.value_per_circuit, c.first_us, c.offer.call)):
-            if reason := self._given_up(call):
-                self._refuse(call, self._stay_away(call), reason)
-            elif not blocked and not self._route(call) and self.now >= call.not_before:
-                blocked = True
-
-    def _refuse(self, call: Call, stay_away: int, reason: Reason) -> None:
-        if call.waiting:
-            self._leave_line(call)
-        self._failed(call)
-        stay_away = min(stay_away, self.settings.max_retry_after_us)
-        self.actions.append(i.Refuse(call.offer.call, stay_away, reason))
-
-    def _stands(self, event: i.CallAnswered) -> None:
+        head_blocked = False
+        for call in sorted(queue, key=lambda c: (-c.value_per_circuit, c.first_dialled_us, c.offer.call)):
+            if reason := self._refusal_reason(call):
+                self._refuse(call, self._retry_after(call), reason)
+            elif not head_blocked and not self._route(call) and self.now >= call.not_before_us:
+                head_blocked = True
+
+    def _refuse(self, call: Call, retry_after: int, reason: Reason) -> None:
+        """Refuse a call with a retry-after in microseconds, limited to the setting."""
+        if call.queued:
+            self._dequeue(call)
+        self._remove_unanswered(call)
+        retry_after = min(retry_after, self.settings.max_retry_after_us)
+        self.actions.append(i.Refuse(call.offer.call, retry_after, reason))
+
+    def _on_call_answered(self, event: i.CallAnswered) -> None:
+        """Note an answered call; its circuits stay counted until it ends."""
         call = self.calls.get(event.call)
-        if call is None or not call.awaiting_answer or call.at is None:
+        if call is None or not call.awaiting_answer or call.sent_to is None:
             return
         call.awaiting_answer = False
-        call.at.outstanding -= 1
-        self._answered(call, call.at)
+        call.sent_to.outstanding -= 1
+        self._note_answer(call, call.sent_to)
         self.busy_numbers.pop(call.offer.called_number, None)
         if call.two_leg:
-            call.at.tandem_back_offs.pop(call.offer.destination, None)
-            call.at.reached_destinations.add(call.offer.destination)
-            self.tandem_refusal_share -= ANSWER_FADE * self.tandem_refusal_share
-        self._serve(call.at.number)
-
-    def _answered(self, call: Call, at: Exchange) -> None:
-        """An answer came: judge the far processor by how long it took."""
-        at.last_answer_us = self.now
-        if at.consecutive_unanswered >= SILENCES:
-            at.blocked_until = 0
-            self._log(f"exchange {at.number} answers again")
-        at.consecutive_unanswered = 0
-        took = self.now - call.sent_us
-        if not call.two_leg:
-            self.usual_set_up_us += ANSWER_FADE * (took - self.usual_set_up_us)
-        if took <= self.shortest_target_us * PROMPT_SHARE:
-            at.window = min(WINDOW_MOST, at.window + 1.0)
-        elif not call.two_leg or call.offer.transit:
-            self._shrink(at, call.sent_us)
+            call.sent_to.tandem_back_offs.pop(call.offer.destination, None)
+            call.sent_to.reached_destinations.add(call.offer.destination)
+            self.tandem_refusal_share -= SMOOTHING_WEIGHT * self.tandem_refusal_share
+        self._serve_queue(call.sent_to.number)
 
-    def _shrink(self, at: Exchange, sent_us: int) -> None:
-        if sent_us >= at.last_shrunk_us:
-            at.last_shrunk_us = self.now
-            at.window = max(1.0, at.window * SHRINK)
+    def _note_answer(self, call: Call, sent_to: Exchange) -> None:
+        """Adjust back-off and congestion window of an exchange that answered, positively or not.
 
-    def _ended(self, event: i.AttemptEnded) -> None:
-        far = self.exchanges.get(event.exchange)
-        if far is not None and event.report is not None:
-            self._report(far, event.report)
+        A prompt answer widens the window, a slow one narrows it. The window of a tandem is not narrowed by slow
+        answers to calls sent over it, since the delay may lie behind the tandem.
+        """
+        sent_to.last_answer_us = self.now
+        if sent_to.consecutive_unanswered >= BACK_OFF_THRESHOLD:
+            sent_to.blocked_until = 0
+            self._log(f"exchange {sent_to.number} answers again")
+        sent_to.consecutive_unanswered = 0
+        answer_time_us = self.now - call.sent_us
+        if not call.two_leg:
+            self.usual_set_up_us += SMOOTHING_WEIGHT * (answer_time_us - self.usual_set_up_us)
+        if answer_time_us <= self.shortest_target_us * PROMPT_ANSWER_SHARE:
+            sent_to.window = min(MAX_WINDOW, sent_to.window + 1.0)
+        elif not call.two_leg or call.offer.transit:
+            self._shrink_window(sent_to, call.sent_us)
+
+    def _shrink_window(self, sent_to: Exchange, sent_us: int) -> None:
+        """Narrow the window, once for all set-ups that were sent before it was last narrowed."""
+        if sent_us >= sent_to.last_shrunk_us:
+            sent_to.last_shrunk_us = self.now
+            sent_to.window = max(1.0, sent_to.window * WINDOW_SHRINK_FACTOR)
+
+    def _on_attempt_ended(self, event: i.AttemptEnded) -> None:
+        """Take the end of an attempt or of an answered call; send, queue, refuse or fail a call without answer."""
+        remote = self.exchanges.get(event.exchange)
+        if remote is not None and event.report is not None:
+            self._apply_report(remote, event.report)
         call = self.calls.get(event.call)
-        if call is None or call.at is None or call.attempts != event.attempt + 1:
+        if call is None or call.sent_to is None or call.attempts != event.attempt + 1:
             return
-        at, was_out, outcome, cause = call.at, call.awaiting_answer, event.outcome, event.cause
-        cls = TWO_LEG if call.two_leg else DIRECT
-        at.group.release(cls, call.offer.width)
-        call.at = None
+        sent_to, was_awaiting_answer, outcome, cause = call.sent_to, call.awaiting_answer, event.outcome, event.cause
+        traffic_class = TWO_LEG if call.two_leg else DIRECT
+        sent_to.group.release(traffic_class, call.offer.width)
+        call.sent_to = None
         if outcome is i.Outcome.NOT_SENT and cause is i.Cause.NO_CIRCUIT:
-            # Guards against a call's attempts being spent at once on a group that the far end has just
-            # filled, where the word of it comes later than the refusal.
-            at.group.free_circuits = min(at.group.free_circuits, call.offer.width - 1)
-        if was_out:
-            self._judge(call, at, event)
+            # Without this, a call would spend all its attempts at once on a group that the remote exchange has
+            # just filled, because the report of that comes later than the refusal.
+            sent_to.group.free_circuits = min(sent_to.group.free_circuits, call.offer.width - 1)
+        if was_awaiting_answer:
+            self._note_attempt_end(call, sent_to, event)
         if outcome in (i.Outcome.TIMED_OUT, i.Outcome.CUT, i.Outcome.CANCELLED):
-            call.not_before = self.now + self.settings.release_us
-        if event.concluded or call.left:
-            if was_out:
-                self._failed(call)
+            call.not_before_us = self.now + self.settings.release_us
+        if event.concluded or call.caller_left:
+            if was_awaiting_answer:
+                self._remove_unanswered(call)
             else:
                 del self.calls[event.call]
-        elif call.call_class.at_most_once and outcome not in NEVER_RAN:
-            # Guards against effects that come twice: its caller would try a refused call again.
-            self._failed(call)
+        elif call.call_class.at_most_once and outcome not in NEVER_SET_UP:
+            # Prevents the same effect from being caused twice: the caller would redial a refused call.
+            self._remove_unanswered(call)
             self.actions.append(i.Fail(event.call, Reason.MAY_HAVE_RUN))
         elif cause is i.Cause.NUMBER_BUSY:
             self._refuse(call, self.settings.max_retry_after_us, Reason.NUMBER_BUSY)
         elif call.offer.transit:
             self._refuse(call, 0, Reason.TRANSIT_ATTEMPT_ENDED)
         elif outcome is i.Outcome.NOT_SENT and cause is i.Cause.PROCESSOR_FULL:
-            # Guards against spending all attempts at once while the own processor is out of service.
+            # Without this, a call would spend all its attempts at once while the own processor is out of service.
             self._refuse(call, self.settings.max_retry_after_us, Reason.OWN_PROCESSOR_FULL)
-        elif self._hopeless(call):
-            self._failed(call)
+        elif self._too_little_time(call):
+            self._remove_unanswered(call)
             self.actions.append(i.Fail(event.call, Reason.TOO_LITTLE_TIME))
-        elif call.not_before > self.now or not self._route(call):
+        elif call.not_before_us > self.now or not self._route(call):
             self._enqueue(call)
-        self._serve(at.number)
+        self._serve_queue(sent_to.number)
+
+    def _note_attempt_end(self, call: Call, sent_to: Exchange, event: i.AttemptEnded) -> None:
+        """Adjust what is known of exchanges and numbers after an attempt ended without an answered call.
 
-    def _judge(self, call: Call, at: Exchange, event: i.AttemptEnded) -> None:
-        """What the end of an attempt that did not stand tells of the far end."""
+        Every refusal counts as an answer. PROCESSOR_FULL blocks the exchange for the wait that it asked for, and
+        for the release time at least. A refusal by a tandem or behind it starts a back-off of that tandem for the
+        destination, and a full processor at the destination narrows the destination's window as well.
+        """
         call.awaiting_answer = False
-        at.outstanding -= 1
+        sent_to.outstanding -= 1
         outcome, cause = event.outcome, event.cause
         if outcome in (i.Outcome.TIMED_OUT, i.Outcome.UNREACHABLE):
-            if outcome is i.Outcome.UNREACHABLE or at.last_answer_us < call.sent_us:
-                self._silent(at)
+            if outcome is i.Outcome.UNREACHABLE or sent_to.last_answer_us < call.sent_us:
+                self._note_silence(sent_to)
             if not call.two_leg:
-                self._shrink(at, call.sent_us)
+                self._shrink_window(sent_to, call.sent_us)
         elif outcome not in (i.Outcome.NOT_SENT, i.Outcome.CANCELLED, i.Outcome.CUT):
-            self._answered(call, at)
+            self._note_answer(call, sent_to)
             if cause is i.Cause.PROCESSOR_FULL:
-                at.window = 1.0
-                at.blocked_until = max(at.blocked_until, self.now + max(event.wait_us, self.settings.release_us))
+                sent_to.window = 1.0
+                sent_to.blocked_until = max(
+                    sent_to.blocked_until, self.now + max(event.wait_us, self.settings.release_us)
+                )
             elif cause in (i.Cause.REFUSED_BY_TANDEM, i.Cause.DESTINATION_PROCESSOR_FULL) and call.two_leg:
-                self.tandem_refusal_share += ANSWER_FADE * (1.0 - self.tandem_refusal_share)
-                # Guards against tandems whose onward group stays full: their turn-backs feed processors.
-                times = at.tandem_back_offs.get(call.offer.destination, NEVER)[0]
-                pause = min(TURN_BACK_MOST, TURN_BACK_FIRST * 2 ** min(times, 20))
-                at.tandem_back_offs[call.offer.destination] = (
-                    times + 1,
+                self.tandem_refusal_share += SMOOTHING_WEIGHT * (1.0 - self.tandem_refusal_share)
+                # Prevents set-ups over a tandem whose onward group stays full: refusing them loads processors.
+                refusals = sent_to.tandem_back_offs.get(call.offer.destination, NO_REFUSALS)[0]
+                pause = min(MAX_TANDEM_BACK_OFF, FIRST_TANDEM_BACK_OFF * 2 ** min(refusals, 20))
+                sent_to.tandem_back_offs[call.offer.destination] = (
+                    refusals + 1,
                     self.now + int(self.shortest_target_us * pause),
                 )
             if cause is i.Cause.DESTINATION_PROCESSOR_FULL:
-                target = self.by_number.get(call.offer.destination)
-                if target is not None:
-                    self._shrink(target, call.sent_us)
+                destination_exchange = self.by_number.get(call.offer.destination)
+                if destination_exchange is not None:
+                    self._shrink_window(destination_exchange, call.sent_us)
             if cause is i.Cause.NUMBER_BUSY and call.offer.called_number:
-                self._mark_busy(call.offer.called_number)
-
-    def _silent(self, at: Exchange) -> None:
-        """Guards against hung and cut-off exchanges: silence spaces further set-ups out."""
-        at.consecutive_unanswered += 1
-        if at.consecutive_unanswered >= SILENCES:
-            pause = min(RETRY_MOST, RETRY_FIRST * 2 ** min(at.consecutive_unanswered - SILENCES, 20))
-            at.window = 1.0
-            at.blocked_until = max(at.blocked_until, self.now + int(pause * self.settings.release_us))
-            if at.consecutive_unanswered == SILENCES:
-                self._log(f"exchange {at.number} is silent, tried sparingly")
-
-    def _mark_busy(self, called_number: int) -> None:
-        gap = self.shortest_target_us * BUSY_GAP * self.settings.controllers
-        _keep(self.busy_numbers, called_number, self.now + int(gap), MAX_BUSY_NUMBERS)
-
-    def _number_busy(self, called_number: int) -> bool:
-        """Guards against a hot number: after 'all lines busy' one set-up in each gap may try it."""
+                self._defer_number(call.offer.called_number)
+
+    def _note_silence(self, sent_to: Exchange) -> None:
+        """Count an unanswered attempt; from BACK_OFF_THRESHOLD in a row on, back the exchange off.
+
+        Prevents a hung or disconnected exchange from using up attempts and time: set-ups to it are spaced out
+        until it answers.
+        """
+        sent_to.consecutive_unanswered += 1
+        if sent_to.consecutive_unanswered >= BACK_OFF_THRESHOLD:
+            pause = min(
+                MAX_BACK_OFF, FIRST_BACK_OFF * 2 ** min(sent_to.consecutive_unanswered - BACK_OFF_THRESHOLD, 20)
+            )
+            sent_to.window = 1.0
+            sent_to.blocked_until = max(sent_to.blocked_until, self.now + int(pause * self.settings.release_us))
+            if sent_to.consecutive_unanswered == BACK_OFF_THRESHOLD:
+                self._log(f"exchange {sent_to.number} does not answer, backing off")
+
+    def _defer_number(self, called_number: int) -> None:
+        """Allow the next set-up to a busy number only after a gap."""
+        gap = self.shortest_target_us * BUSY_NUMBER_GAP * self.settings.controllers
+        _remember(self.busy_numbers, called_number, self.now + int(gap), MAX_BUSY_NUMBERS)
+
+    def _number_deferred(self, called_number: int) -> bool:
+        """Whether a call to a busy number must be refused; if not, the next gap begins.
+
+        Prevents load from calls to a number in heavy demand: after the report that all its lines are busy, one
+        set-up in each gap tries it, until one is answered.
+        """
         until = self.busy_numbers.get(called_number)
         if until is None or self.now < until:
             return until is not None
-        self._mark_busy(called_number)
+        self._defer_number(called_number)
         return False
 
-    def _left(self, event: i.CallerLeft) -> None:
+    def _on_caller_left(self, event: i.CallerLeft) -> None:
+        """Forget a call whose caller has left; one with an attempt or answered stays counted until that ends."""
         call = self.calls.get(event.call)
         if call is None:
             return
-        if call.waiting:
-            self._leave_line(call)
-        if call.at is None:
-            self._failed(call)
-        call.left = True
-
-    def _timer(self, event: i.TimerDue) -> None:
+        if call.queued:
+            self._dequeue(call)
+        if call.sent_to is None:
+            self._remove_unanswered(call)
+        call.caller_left = True
+
+    def _on_timer(self, event: i.TimerDue) -> None:
+        """Try a queued call again, or refuse it, or subscribe to the exchange list again."""
         ident = self.timers.pop(event.token, None)
         if ident is None:
             return
@@ -651,10 +738,10 @@
             self.actions.append(i.SubscribeToList())
             return
         call = self.calls.get(ident)
-        if call is None or not call.waiting or self._route(call):
+        if call is None or not call.queued or self._route(call):
             return
-        if reason := self._given_up(call):
-            self._refuse(call, self._stay_away(call), reason)
+        if reason := self._refusal_reason(call):
+            self._refuse(call, self._retry_after(call), reason)
 
     def _set_timer(self, delay: int, ident: int) -> None:
         token = self.next_token
@@ -662,88 +749,96 @@
         self.timers[token] = ident
         self.actions.append(i.SetTimer(max(1, delay), token))
 
-    # --- what far ends tell ---
+    # --- reports of exchanges, and the warm-up of recently started ones ---
 
-    def _told(self, event: i.ExchangeReport) -> None:
-        far = self.exchanges.get(event.exchange)
-        if far is not None:
-            self._report(far, event.report)
-            self._serve(far.number)
+    def _on_exchange_report(self, event: i.ExchangeReport) -> None:
+        remote = self.exchanges.get(event.exchange)
+        if remote is not None:
+            self._apply_report(remote, event.report)
+            self._serve_queue(remote.number)
 
-    def _report(self, far: Exchange, report: i.LoadReport) -> None:
-        group = far.group
+    def _apply_report(self, remote: Exchange, report: i.LoadReport) -> None:
+        group = remote.group
         if report.size is not None and (report.size != group.size or not group.size_known):
             group.resize(report.size)
         if report.free is not None:
             group.free_circuits = report.free
         if report.throttle_share is not None:
-            far.throttle_share = report.throttle_share
+            remote.throttle_share = report.throttle_share
         if report.setups_per_s is not None:
-            far.max_reported_rate = max(far.max_reported_rate, report.setups_per_s)
+            remote.max_reported_rate = max(remote.max_reported_rate, report.setups_per_s)
 
-    def _cold(self, far: Exchange) -> bool:
-        return far.warm_up_until > self.now
+    def _warming_up(self, remote: Exchange) -> bool:
+        return remote.warm_up_until > self.now
 
-    def _cold_turn(self, far: Exchange, after: int, gap: int) -> int:
-        """The next turn of this proxy at a processor just started.
+    def _next_warm_up_turn(self, remote: Exchange, after: int, gap: int) -> int:
+        """The first turn of this controller after a given time at an exchange that is warming up (slow start).
 
-        Guards a cold processor against what all proxies together send it. Each proxy has one turn in each
-        gap, at a place in it that hangs on its number: turns of all proxies lie evenly, from the first on,
-        however late each hears of the start and whether it restarts itself.
+        Prevents all controllers together from overloading a recently started processor. Each controller has
+        one turn in every gap, at an offset that depends on its number alone. So the turns of all controllers
+        are spread evenly from the first one on, however late each learns of the start, and even if it is
+        restarted itself.
         """
-        start = far.warm_up_until - self.settings.warm_up_us + int(self.turn_offset * gap)
+        start = remote.warm_up_until - self.settings.warm_up_us + int(self.turn_offset * gap)
         return start + -((start - after) // gap) * gap
 
-    def _cold_open(self, far: Exchange) -> bool:
-        """Whether it is this proxy's turn at a cold processor: a turn not used in time is lost, so that
-        calls that come to all proxies at one moment cannot use all turns at once."""
-        if self.now < far.next_turn_us:
+    def _warm_up_turn_open(self, remote: Exchange) -> bool:
+        """Whether it is this controller's turn at an exchange that is warming up.
+
+        A turn that is not used within TURN_OPEN_SHARE of the gap is lost. Otherwise calls that reach all controllers
+        at the same time could use all turns at once.
+        """
+        if self.now < remote.next_turn_us:
             return False
         gap = self._warm_up_gap()
-        if self.now >= far.next_turn_us + COLD_TURN * gap:
-            far.next_turn_us = self._cold_turn(far, self.now, gap)
-        return self.now >= far.next_turn_us
+        if self.now >= remote.next_turn_us + TURN_OPEN_SHARE * gap:
+            remote.next_turn_us = self._next_warm_up_turn(remote, self.now, gap)
+        return self.now >= remote.next_turn_us
 
     def _warm_up_gap(self) -> int:
-        """Time between two turns at a cold processor, such that all proxies' turns fit what it can do.
+        """Microseconds between two turns, such that the set-ups of all controllers cause no overload collapse.
 
-        What it takes once warm is judged by the middle one of the exchanges' largest reports, else by the
-        own calls: an exchange carries at least as many calls in as out, and its processor works for both.
+        The rate that the processor can take after the warm-up is estimated in two parts. The first is what it
+        carries, twice the rate of the own calls: an exchange carries at least as many incoming calls as outgoing
+        ones, and its processor works for both. The second is what it can take in addition, the median of the
+        highest rates that the exchanges reported, or without reports the rate of the own calls once more.
         """
         s = self.settings
-        told = sorted(e.max_reported_rate for e in self.exchanges.values() if e.max_reported_rate > 0)
-        takes = 2.0 * self.first_dial_rate + (told[len(told) // 2] if told else self.first_dial_rate)
-        each = COLD_SAFETY * s.collapse_multiple * s.cold_start_share * takes / s.controllers
-        return int(1e6 / each) if each > 0.0 else 2 * s.warm_up_us
+        reported_rates = sorted(e.max_reported_rate for e in self.exchanges.values() if e.max_reported_rate > 0)
+        capacity = 2.0 * self.first_dial_rate + (
+            reported_rates[len(reported_rates) // 2] if reported_rates else self.first_dial_rate
+        )
+        rate_per_controller = WARM_UP_SAFETY * s.collapse_multiple * s.cold_start_share * capacity / s.controllers
+        return int(1e6 / rate_per_controller) if rate_per_controller > 0.0 else 2 * s.warm_up_us
 
     def _log(self, text: str) -> None:
         self.actions.append(i.Log(text))
 
 
-def _keep(table: dict[int, int], number: int, value: int, most: int) -> None:
-    """Enter a number; in a full table its oldest entry makes room."""
+def _remember(table: dict[int, int], number: int, time_us: int, most: int) -> None:
+    """Set an entry; in a table with `most` entries the oldest one is dropped for a new one."""
     if number not in table and len(table) >= most:
         del table[next(iter(table))]
-    table[number] = value
+    table[number] = time_us
 
 
 def validate(s: i.Settings) -> None:
-    """Raise ValueError, naming the field, for settings that cannot be."""
+    """Raise ValueError that names the field for settings out of their range."""
 
-    def need(good: bool, name: str, value: object) -> None:
-        if not good:
-            raise ValueError(f"setting {name} cannot be {value!r}")
+    def require(valid: bool, name: str, given: object) -> None:
+        if not valid:
+            raise ValueError(f"setting {name} cannot be {given!r}")
 
-    need(len(s.classes) > 0, "classes", s.classes)
+    require(len(s.classes) > 0, "classes", s.classes)
     for k, c in enumerate(s.classes):
-        need(c.target_us > 0, f"classes[{k}].target_us", c.target_us)
-        need(c.give_up_us > 0, f"classes[{k}].give_up_us", c.give_up_us)
-        need(c.width > 0, f"classes[{k}].width", c.width)
-        need(c.holding_us > 0, f"classes[{k}].holding_us", c.holding_us)
-        need(c.value >= 0, f"classes[{k}].value", c.value)
+        require(c.target_us > 0, f"classes[{k}].target_us", c.target_us)
+        require(c.give_up_us > 0, f"classes[{k}].give_up_us", c.give_up_us)
+        require(c.width > 0, f"classes[{k}].width", c.width)
+        require(c.holding_us > 0, f"classes[{k}].holding_us", c.holding_us)
+        require(c.value >= 0, f"classes[{k}].value", c.value)
     for name in ("controllers", "max_attempts", "warm_up_us", "collapse_us"):
-        need(getattr(s, name) > 0, name, getattr(s, name))
+        require(getattr(s, name) > 0, name, getattr(s, name))
     for name in ("release_us", "drain_grace_us", "ask_within_us", "max_retry_after_us", "resend_us"):
-        need(getattr(s, name) >= 0, name, getattr(s, name))
-    need(0 < s.cold_start_share <= 1, "cold_start_share", s.cold_start_share)
-    need(s.collapse_multiple > 0, "collapse_multiple", s.collapse_multiple)
+        require(getattr(s, name) >= 0, name, getattr(s, name))
+    require(0 < s.cold_start_share <= 1, "cold_start_share", s.cold_start_share)
+    require(s.collapse_multiple > 0, "collapse_multiple", s.collapse_multiple)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -255,7 +255,7 @@
         silence(harness, 1)
         harness.pass_time(5 * SECOND)
     texts = [a.text for a in harness.all_actions if isinstance(a, i.Log)]
-    assert texts == ["exchange 1 is silent, tried sparingly"]
+    assert texts == ["exchange 1 does not answer, backing off"]
     call, _ = harness.offer(1)
     harness.answer(call, 1)
     other, _ = harness.offer(1)
