--- a/latchturn/protocol.py
+++ b/latchturn/protocol.py
@@ -1,8 +1,8 @@
-"""The platform's protocol, as pure codecs: messages, command-channel frames and the configuration.
+"""Codecs of the platform's protocol: messages, frames of the command channel and the configuration.
 
-Owns every byte layout and text form that the program meets outside the simulator's wire, and turns
-them into plain values and back. It must never open a socket, read a clock or keep state beyond the
-unread part of a byte stream, and it decides nothing: what cannot be read raises `ProtocolError`.
+This module converts between plain values and every byte layout and text format that the program uses,
+except those of the simulator (see `benchlink`). It opens no socket, reads no clock, makes no decisions and
+keeps no state other than the incomplete end of a byte stream. Malformed input raises `ProtocolError`.
 """
 
 from __future__ import annotations
@@ -19,31 +19,31 @@
 from .interface import ListEntry, ListKind, ListState
 
 MAX_MESSAGE_BYTES = 16 * 1024
-MAX_FRAME_BYTES = 4 * 1024 * 1024  # a whole list of 150,000 exchanges
-MESSAGE_HEADER = struct.Struct(">HBQ")
-PARAMETER_HEADER = struct.Struct(">BH")
-FRAME_HEADER = struct.Struct(">IQB")
-RECORD = struct.Struct(">I4sHBBBHIQ")
+MAX_FRAME_BYTES = 4 * 1024 * 1024  # holds a full list of 150,000 exchanges
+MESSAGE_HEADER = struct.Struct(">HBQ")  # length of what follows the length, type, call
+PARAMETER_HEADER = struct.Struct(">BH")  # code, length of the value
+FRAME_HEADER = struct.Struct(">IQB")  # length of what follows the length, event number, kind
+RECORD = struct.Struct(">I4sHBBBHIQ")  # one `ExchangeRecord` in a frame
 CURSOR = struct.Struct(">Q")
-WHOLE_NUMBER = re.compile(r"-?[0-9]{1,9}(\.0+)?", re.ASCII)  # a figure of a set-up
+WHOLE_NUMBER = re.compile(r"-?[0-9]{1,9}(\.0+)?", re.ASCII)  # value of a figure in a set-up
 
 LIST_STATE_BY_CODE = {0: ListState.READY, 1: ListState.DRAINING, 2: ListState.GONE}
 LIST_STATE_BY_STATUS = {"ready": ListState.READY, "draining": ListState.DRAINING, "gone": ListState.GONE}
 
 
-MAY_BE_ABSENT = ("admin_addr", "aim-stretch", "fleet")  # keys of the configuration
+MAY_BE_ABSENT = ("admin_addr", "aim-stretch", "fleet")  # optional keys of the configuration
 
 
 class ProtocolError(Exception):
-    """Input that does not follow the protocol."""
+    """Input violates the protocol."""
 
 
 class ConfigError(Exception):
-    """A configuration that cannot be used: what, and where in it."""
+    """The configuration is invalid; the message names the file and the problem."""
 
 
 class MessageType(IntEnum):
-    """Message types."""
+    """Message types on the wire."""
 
     SET_UP = 1
     PROGRESS = 6
@@ -56,7 +56,7 @@
 
 
 class ParameterCode(IntEnum):
-    """Parameter codes."""
+    """Codes of the parameters in a message."""
 
     CLASS = 129
     WAIT_MS = 132
@@ -71,7 +71,7 @@
 
 
 class ReleaseCause(IntEnum):
-    """Release causes, by their names in ITU-T Q.850."""
+    """Release causes, named after ITU-T Q.850."""
 
     NORMAL = 16
     USER_BUSY = 17
@@ -85,20 +85,20 @@
 
 @dataclass(slots=True, frozen=True)
 class SetUp:
-    """A call is to be set up. `figures` and `tenant` travel from callers only."""
+    """Requests that a call be set up. Only callers send `figures` and `tenant`."""
 
-    call: int
+    call: int  # id of the call
     class_name: str
-    wait_ms: int
-    called: str
-    description: bytes
+    wait_ms: int  # how long the sender waits for an answer
+    called: str  # the called number
+    description: bytes  # media description, passed on unchanged
     figures: Mapping[str, int] = field(default_factory=dict)
     tenant: str = ""
 
 
 @dataclass(slots=True, frozen=True)
 class InvalidSetUp:
-    """A whole message that says set-up, but not what: a parameter is missing or cannot be what it says."""
+    """A complete set-up message with a missing or invalid parameter."""
 
     call: int
     reason: str
@@ -106,52 +106,68 @@
 
 @dataclass(slots=True, frozen=True)
 class Progress:
+    """The set-up has reached the exchange and is in progress."""
+
     call: int
 
 
 @dataclass(slots=True, frozen=True)
 class Answer:
+    """The call is set up."""
+
     call: int
-    description: bytes
-    report: Mapping[str, float] | None = None
+    description: bytes  # media description, passed on unchanged
+    report: Mapping[str, float] | None = None  # load figures of the exchange
 
 
 @dataclass(slots=True, frozen=True)
 class Release:
-    """A refusal, a failure, a given-up set-up or the end of a call, as its place and cause tell."""
+    """Ends a call or a set-up.
+
+    Depending on the sender, the state of the call and the cause, it is a refusal, a failure, a give-up or the
+    end of an answered call.
+    """
 
     call: int
-    cause: int
-    note: str = ""
-    retry_after_ms: int = 0
-    report: Mapping[str, float] | None = None
+    cause: int  # a `ReleaseCause`
+    note: str = ""  # details of the cause, such as "turned_back"
+    retry_after_ms: int = 0  # how long the receiver should wait before it redials
+    report: Mapping[str, float] | None = None  # load figures of the exchange
 
 
 @dataclass(slots=True, frozen=True)
 class ReleaseConfirmed:
+    """Confirms that a release was received."""
+
     call: int
 
 
 @dataclass(slots=True, frozen=True)
 class HealthCheck:
+    """Asks whether the receiver accepts calls; `call` is returned in the result."""
+
     call: int
 
 
 @dataclass(slots=True, frozen=True)
 class HealthCheckResult:
+    """The response to a `HealthCheck`."""
+
     call: int
     passed: bool
 
 
 @dataclass(slots=True, frozen=True)
 class GroupState:
+    """Load figures of an exchange, among them the free circuits of its trunk group; `call` is 0."""
+
     call: int
     report: Mapping[str, float]
 
 
 @dataclass(slots=True, frozen=True)
 class UnknownMessage:
-    """A message of a type that this program does not know; it is passed over."""
+    """A message of a type that this program does not know. It is ignored."""
 
     call: int
     type: int
@@ -164,7 +180,7 @@
 
 
 def encode(message: Message) -> bytes:
-    """The bytes of one message; ValueError if it would be too long."""
+    """Encode one message; raises ValueError if it is too long or of a type that is never sent."""
     parameters: list[tuple[int, bytes]] = []
     if isinstance(message, SetUp):
         kind = MessageType.SET_UP
@@ -211,15 +227,16 @@
     return MESSAGE_HEADER.pack(length, kind, message.call) + body
 
 
-# What an exchange sends after an answer, by the type and the call behind the length of a message.
+# Types of messages that an exchange can send after an answer.
 TYPES_AFTER_ANSWER = (MessageType.ANSWER, MessageType.RELEASE, MessageType.PROGRESS, MessageType.RELEASE_CONFIRMED)
 GROUP_STATE_HEADER = bytes([MessageType.GROUP_STATE]) + bytes(8)
 
 
 def contains_message_header(data: bytes, calls: Iterable[int]) -> bool:
-    """Whether bytes hold the head of a message for one of some calls, or of a group state.
+    """Return whether the data contains the header of a message for one of the calls, or of a group state.
 
-    An answer that stopped short is completed by the bytes of the message behind it; its lengths are right all the same.
+    If an exchange sends only part of an answer, the bytes of the next message fill the gap, so that the lengths
+    look valid. The header of that next message then lies inside the answer's description.
     """
     if GROUP_STATE_HEADER in data:
         return True
@@ -234,10 +251,10 @@
 
 
 class Decoder(Generic[T]):
-    """Cuts a byte stream into pieces that begin with their length, however it arrives."""
+    """Splits a byte stream into length-prefixed units and decodes each, regardless of how the bytes arrive."""
 
     def __init__(self, length_bytes: int, min_length: int, max_length: int, decode: Callable[[bytes], T]) -> None:
-        self._length_bytes = length_bytes  # bytes of the length, which counts all that follows it
+        self._length_bytes = length_bytes  # size of the length field; the length counts all bytes after the field
         self._min_length = min_length
         self._max_length = max_length
         self._decode = decode
@@ -245,11 +262,11 @@
 
     @property
     def has_partial_message(self) -> bool:
-        """Whether a piece has begun to come and is not whole yet."""
+        """Whether the input so far ends within a unit."""
         return bool(self._unread)
 
     def feed(self, data: bytes) -> Iterator[T]:
-        """What `data` completes. Pieces before a malformed one come out before the error."""
+        """Yield the units that `data` completes. Units before a malformed one are yielded before the error."""
         self._unread += data
         at = 0
         try:
@@ -268,7 +285,7 @@
 
 
 def message_decoder() -> Decoder[Message]:
-    """A decoder for messages."""
+    """Return a decoder for a stream of messages."""
     return Decoder(2, MESSAGE_HEADER.size - 2, MAX_MESSAGE_BYTES, _decode_message)
 
 
@@ -279,20 +296,20 @@
     at = MESSAGE_HEADER.size
     while at < len(raw):
         if at + PARAMETER_HEADER.size > len(raw):
-            raise ProtocolError("parameter cut short")
+            raise ProtocolError("truncated parameter header")
         code, size = PARAMETER_HEADER.unpack_from(raw, at)
         at += PARAMETER_HEADER.size
         if at + size > len(raw):
-            raise ProtocolError(f"parameter {code} goes past its message")
+            raise ProtocolError(f"parameter {code} extends past the end of its message")
         repeated_code = code if code in values else repeated_code
         values[code] = raw[at : at + size]
         at += size
     if kind == MessageType.SET_UP:
         try:
             if repeated_code:
-                raise ProtocolError(f"parameter {repeated_code} comes twice")
+                raise ProtocolError(f"parameter {repeated_code} is repeated")
             if not values.get(ParameterCode.DESCRIPTION):
-                raise ProtocolError("a set-up without description")
+                raise ProtocolError("set-up without a description")
             return SetUp(
                 call,
                 _decode_text(values, ParameterCode.CLASS),
@@ -302,7 +319,7 @@
                 _decode_whole_figures(values),
                 _decode_text(values, ParameterCode.TENANT) if ParameterCode.TENANT in values else "",
             )
-        except ProtocolError as error:  # its borders are whole, so what follows it can be read
+        except ProtocolError as error:  # the message boundaries are intact, so the stream can still be read
             return InvalidSetUp(call, str(error))
     if kind == MessageType.PROGRESS:
         return Progress(call)
@@ -336,42 +353,42 @@
 
 def _decode_number(values: Mapping[int, bytes], code: int) -> int:
     text = _decode_text(values, code)
-    # isdecimal alone lets other scripts' digits through, and int() lets signs and underscores through.
+    # isdecimal() alone accepts digits of other scripts, and int() accepts signs and underscores.
     if not (text.isascii() and text.isdecimal() and len(text) <= 18):
-        raise ProtocolError(f"parameter {int(code)} is no number: {text!r:.40}")
+        raise ProtocolError(f"parameter {int(code)} is not a number: {text!r:.40}")
     return int(text)
 
 
 def _decode_cause(values: Mapping[int, bytes]) -> int:
     value = values.get(ParameterCode.CAUSE, b"")
     if len(value) != 1:
-        raise ProtocolError("a cause that is not one byte")
+        raise ProtocolError("the cause is not one byte long")
     return value[0]
 
 
 def _decode_figures(values: Mapping[int, bytes], code: int) -> dict[str, float]:
-    """Figures in the form `dest:2;width:1`."""
+    """Decode figures in the form `dest:2;width:1`."""
     figures: dict[str, float] = {}
     for part in _decode_text(values, code).split(";") if code in values else ():
         name, separator, value = part.partition(":")
         try:
             number = float(value) if separator else 0.0
         except ValueError:
-            raise ProtocolError(f"figure {part!r:.40} cannot be read") from None
+            raise ProtocolError(f"figure {part!r:.40} is not a number") from None
         if abs(number) > 1e15 or number != number:
-            raise ProtocolError(f"figure {part!r:.40} cannot be")
+            raise ProtocolError(f"figure {part!r:.40} is out of range")
         if name:
             figures[name] = number
     return figures
 
 
 def _decode_whole_figures(values: Mapping[int, bytes]) -> dict[str, int]:
-    """The figures of a set-up: whole numbers, each name once."""
+    """Decode the figures of a set-up: whole numbers, no name repeated."""
     figures: dict[str, int] = {}
     for part in _decode_text(values, ParameterCode.FIGURES).split(";") if ParameterCode.FIGURES in values else ():
         name, _, value = part.partition(":")
         if not WHOLE_NUMBER.fullmatch(value) or not name or name in figures:
-            raise ProtocolError(f"figure {part!r:.40} cannot be")
+            raise ProtocolError(f"figure {part!r:.40} is not a whole number, has no name or is repeated")
         figures[name] = int(value.partition(".")[0])
     return figures
 
@@ -389,7 +406,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ExchangeRecord:
-    """One exchange as the command channel lists it, with the address at which it listens."""
+    """One exchange of the exchange list, with the address at which it listens."""
 
     entry: ListEntry
     address: tuple[str, int]
@@ -397,15 +414,15 @@
 
 @dataclass(slots=True, frozen=True)
 class ListUpdate:
-    """One numbered event of the command channel; `kind` None is an empty frame."""
+    """One numbered event of the command channel."""
 
-    number: int
-    kind: ListKind | None
+    number: int  # of the event, counted by the command channel
+    kind: ListKind | None  # None for a frame without content
     records: tuple[ExchangeRecord, ...] = ()
 
 
 def frame_decoder() -> Decoder[ListUpdate]:
-    """A decoder for the frames of the command channel."""
+    """Return a decoder for the frames of the command channel."""
     return Decoder(4, 0, MAX_FRAME_BYTES, _decode_frame)
 
 
@@ -418,22 +435,22 @@
     if kind == 0:
         return ListUpdate(number, None)
     if kind not in (1, 2):
-        raise ProtocolError(f"frame of unknown kind {kind}")
+        raise ProtocolError(f"unknown frame kind {kind}")
     if (len(raw) - FRAME_HEADER.size) % RECORD.size:
-        raise ProtocolError("records that do not fill their frame")
+        raise ProtocolError("frame ends within a record")
     listed = []
     for exchange_id, address, port, state, _zone, _kind, exchange_number, _weight, started_ms in RECORD.iter_unpack(
         raw[FRAME_HEADER.size :]
     ):
         if state not in LIST_STATE_BY_CODE:
-            raise ProtocolError(f"exchange {exchange_id} in unknown state {state}")
+            raise ProtocolError(f"exchange {exchange_id} has unknown state {state}")
         entry = ListEntry(exchange_id, exchange_number, LIST_STATE_BY_CODE[state], started_ms * 1000)
         listed.append(ExchangeRecord(entry, (".".join(map(str, address)), port)))
     return ListUpdate(number, ListKind.FULL if kind == 1 else ListKind.CHANGES, tuple(listed))
 
 
 def encode_cursor(number: int) -> bytes:
-    """What a client of the command channel writes first: the number of the last event it has."""
+    """Encode the first bytes that a client of the command channel sends: the number of the last event it has."""
     return CURSOR.pack(number)
 
 
@@ -442,22 +459,22 @@
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """What a session controller is told at its start. `settings` is in the form of `read_settings`."""
+    """The configuration of a session controller."""
 
     name: str
-    listen: tuple[str, int]
+    listen: tuple[str, int]  # address of the listener for callers
     seed: int
-    sockets: int
-    channel: tuple[str, int]
-    cursor: int
-    known: tuple[ListUpdate, ...]
-    settings: str
+    sockets: int  # how many sockets the process may have open
+    channel: tuple[str, int]  # address of the command channel
+    cursor: int  # number of the last event in `known`
+    known: tuple[ListUpdate, ...]  # the exchange list at the start
+    settings: str  # in the format of `benchlink.read_settings`
     admin: tuple[str, int] | None = None  # address of the admin listener, None if there is none
-    keys: frozenset[str] = frozenset()  # paths of all keys but those of events and those that may be absent
+    keys: frozenset[str] = frozenset()  # paths of all keys except those inside `known` and the optional ones
 
 
 def read_config(path: str | Path) -> Config:
-    """The configuration in a file; ConfigError says what is wrong with it."""
+    """Read the configuration from a file; raises ConfigError if that fails."""
     try:
         data = json.loads(Path(path).read_text())
     except (OSError, ValueError) as error:
@@ -483,7 +500,7 @@
 
 
 def _key_paths(path: str, value: Any) -> set[str]:
-    """The paths of the keys in a value; in a list, of those that all items have."""
+    """Return the paths of the keys in a value; for a list, the paths that all its items have."""
     paths: set[str] = set()
     if isinstance(value, Mapping):
         for key, inner in value.items():
@@ -512,22 +529,22 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Host and port of `host:port`."""
+    """Split `host:port` into host and port."""
     host, separator, port = text.rpartition(":")
     if not (separator and host and port.isascii() and port.isdecimal() and int(port) < 65536):
-        raise ValueError(f"{text!r} is no address")
+        raise ValueError(f"{text!r} is not an address (host:port)")
     return host, int(port)
 
 
 def settings_text(text: str) -> str:
-    """A text value as the settings write it."""
+    """Return a text value in the form that the flattened settings use: no spaces or commas."""
     return text.replace(" ", "_").replace(",", "_")
 
 
 def flatten_settings(settings: Mapping[str, Any]) -> str:
-    """Nested settings as the simulator's wire writes them: path=value, one a line."""
+    """Convert nested settings to the format of the simulator's wire: lines of path=value."""
     if not isinstance(settings, Mapping):
-        raise ValueError("settings is no object")
+        raise ValueError("settings is not an object")
     return "".join(f"{path}={value}\n" for path, value in _flatten("", settings))
 
 
