--- a/latchturn/__main__.py
+++ b/latchturn/__main__.py
@@ -1,14 +1,14 @@
-"""The program: reads the configuration that GW_CONFIG names, runs, and ends with an exit code.
+"""The program: reads the configuration file that GW_CONFIG names and runs a session controller.
 
-Owns the order of start and end and the exit codes: 0 after SIGTERM, 2 for a configuration that
-cannot be used. It must hold nothing else.
+This module only defines the order of the start and the end and the exit codes: 0 after SIGTERM, 2 for an invalid
+configuration.
 """
 
 from __future__ import annotations
 
 from . import early_signals
 
-early_signals.hold()  # before the imports below, which take a third of a second
+early_signals.hold()  # before the imports below, which take about 0.3 s
 
 import os
 import sys
@@ -26,7 +26,7 @@
 
 
 def read(path: str) -> tuple[Config, Settings]:
-    """The configuration in a file and its settings; ConfigError says what is wrong with it."""
+    """Read the configuration and its settings from a file; raises ConfigError if they are invalid."""
     config = read_config(path)
     try:
         settings = read_settings(config.settings)[0]
@@ -37,17 +37,17 @@
 
 
 def with_admin_address(config: Config, environ: Mapping[str, str]) -> Config:
-    """The configuration with the admin address that the environment names, if the file names none."""
+    """Return the configuration, with the admin address from the environment if the file names none."""
     admin = environ.get("GW_ADMIN_ADDR")
     return config if config.admin or not admin else replace(config, admin=parse_address(admin))
 
 
 def main() -> int:
-    """Run one session controller until it is told to end."""
+    """Run one session controller until a signal ends it; return the exit code."""
     path = os.environ.get("GW_CONFIG", "")
     try:
         if not path:
-            raise ConfigError("GW_CONFIG names no file")
+            raise ConfigError("GW_CONFIG is not set or empty")
         config, settings = read(path)
         config = with_admin_address(config, os.environ)
         reducer = Session(settings, config.seed, config.sockets)
--- a/latchturn/admin.py
+++ b/latchturn/admin.py
@@ -1,7 +1,7 @@
-"""The admin listener: connections of operators, each with one line and its answer.
+"""The connections at the admin listener: each sends one line and receives one answer.
 
-Owns these connections and their bounds, which are apart from those of callers. It must decide nothing: a line becomes
-an input of the reducer, and the answer is the reducer's.
+This module owns these connections and their limits, which are separate from those of callers. It makes no decisions:
+a line becomes an input of the reducer, and the reducer provides the answer.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 from . import operations, session
 
-MAX_CONNECTIONS = 16  # the oldest makes room
+MAX_CONNECTIONS = 16  # beyond this, the oldest connection is closed
 BACKLOG = 64
-CONNECTION_TIMEOUT_S = 5.0  # for one connection
+CONNECTION_TIMEOUT_S = 5.0  # from accept to the end of the answer
 
 
-class _Connection:
-    """One connection, the means to end it, and what is still to be written to it."""
+class _AdminConnection:
+    """The cancel scope of one connection and the part of its answer that is still to be written."""
 
     def __init__(self) -> None:
         self.scope = trio.CancelScope()
@@ -27,19 +27,19 @@
 
 
 class AdminConnections:
-    """The connections that are open at the admin listener."""
+    """The open connections at the admin listener."""
 
     def __init__(self, submit: Callable[[session.Input], None]) -> None:
-        self._submit = submit  # hands an input to the reducer, which replies before it returns
-        self._connections: dict[int, _Connection] = {}  # the oldest first
-        self._accepted = 0
+        self._submit = submit  # passes an input to the reducer; `reply` is called before it returns
+        self._connections: dict[int, _AdminConnection] = {}  # by id, the oldest first
+        self._accepted_count = 0
 
     async def serve(self, sock: trio.socket.SocketType) -> None:
-        """One connection, from its line to its end."""
-        self._accepted += 1
-        connection_id, connection = self._accepted, _Connection()
+        """Serve one connection: read its line, write the answer, close it."""
+        self._accepted_count += 1
+        connection_id, connection = self._accepted_count, _AdminConnection()
         if len(self._connections) >= MAX_CONNECTIONS:
-            next(iter(self._connections.values())).scope.cancel()  # guards the listener against those who dawdle
+            next(iter(self._connections.values())).scope.cancel()  # slow clients cannot block others
         self._connections[connection_id] = connection
         try:
             with sock, connection.scope, trio.move_on_after(CONNECTION_TIMEOUT_S), contextlib.suppress(OSError):
@@ -62,6 +62,6 @@
         return line.partition(b"\n")[0]
 
     def reply(self, connection_id: int, data: bytes) -> None:
-        """Answer a connection, if it is still open."""
+        """Set the answer of a connection, if it is still open."""
         if connection_id in self._connections:
             self._connections[connection_id].reply = data
--- a/latchturn/early_signals.py
+++ b/latchturn/early_signals.py
@@ -1,8 +1,10 @@
-"""Signals that come while the program starts or ends: held until it listens for them, ignored once it does no more.
+"""Handlers for SIGHUP and SIGUSR1 while the program starts and ends.
 
-Owns their handlers before `net` has installed its own and after it has given them up. Without, SIGHUP and SIGUSR1 would
-end the process. The deploy line ignores both before that, while the interpreter starts; the configuration is read later
-than that, so a file that such a SIGHUP was for is the one that the program starts with.
+They are active before `net` installs its handlers and after `net` has removed them; without them, these signals would
+end the process. Signals during the start are recorded and handled later; signals during the end are ignored.
+
+The `run` command of the deploy file ignores both signals while the interpreter starts. A SIGHUP lost in that time does
+no harm: the configuration is read afterwards, so the program starts with the file that the signal was sent for.
 """
 
 from __future__ import annotations
@@ -10,7 +12,7 @@
 import signal
 from types import FrameType
 
-HELD = (signal.SIGHUP, signal.SIGUSR1)
+SIGNALS = (signal.SIGHUP, signal.SIGUSR1)
 _received: list[int] = []
 
 
@@ -19,18 +21,22 @@
 
 
 def hold() -> None:
-    """Hold the signals from now on, until somebody else listens for them."""
-    for number in HELD:
+    """Record these signals from now on, until other handlers replace this one."""
+    for number in SIGNALS:
         signal.signal(number, _receive)
 
 
 def ignore() -> None:
-    """Ignore the signals from now on: the program ends, and the interpreter gives its handlers up on the way out."""
-    for number in HELD:
+    """Ignore these signals from now on.
+
+    Called at the end of the program. The interpreter restores the default handlers when it exits, but a signal that
+    is ignored stays ignored.
+    """
+    for number in SIGNALS:
         signal.signal(number, signal.SIG_IGN)
 
 
 def take() -> list[int]:
-    """The numbers of the signals that have been held, in their order; they are held no more."""
+    """Return the numbers of the recorded signals in order of arrival, and clear the record."""
     numbers, _received[:] = list(_received), []
     return numbers
--- a/latchturn/handover.py
+++ b/latchturn/handover.py
@@ -1,8 +1,9 @@
-"""The socket in $TMPDIR through which a process that serves hands its listener to its successor.
+"""The handover socket in $TMPDIR, over which a process passes its listener and its calls to its successor.
 
-Owns the socket's name, what may lie at it, and the words that pass: the listener itself, how many
-descriptors each side holds, and that the successor serves. It must decide nothing, and nothing that
-lies in $TMPDIR or comes over the socket may keep the program from starting.
+This module defines the path of the socket, creates and connects it, and encodes the messages on it: the listener
+itself, the descriptors and calls that each process holds, the standing calls, forwarded releases, and that the
+successor now serves. It makes no decisions. Nothing that lies in $TMPDIR or arrives on the socket may prevent
+the program from starting.
 """
 
 from __future__ import annotations
@@ -18,127 +19,131 @@
 
 import trio
 
-SEND_ALL_TIMEOUT_S = 0.1  # the process that waits so long is about to end
-PREDECESSOR_TIMEOUT_S = 0.3  # with a process that may be hung, or something else
-# The words, with what follows them.
-SERVING = "serving"
-USAGE = "held"  # descriptors, calls
+SEND_TIMEOUT_S = 0.1  # short, since the sending process is about to exit
+PREDECESSOR_TIMEOUT_S = 0.3  # the predecessor may hang, or the peer may be another program
+# Names of the messages; the comments give the numbers that follow.
+SERVING = "serving"  # the successor serves from now on
+USAGE = "held"  # open descriptors, open calls
 STANDING_CALL = "stands"  # call, exchange
 FORWARDED_RELEASE = "over"  # call, cause
-MAX_UNREAD_BYTES = 4096  # bytes
+MAX_UNREAD_BYTES = 4096  # largest incomplete line, and the size of one read
 
 
 def socket_path(folder: str | None, address: tuple[str, int]) -> Path | None:
-    """Where the process that serves at an address is found, None without a folder."""
+    """Return the path of the handover socket for the address that a process serves, None without a folder."""
     return Path(folder) / f"latchturn-{address[0]}-{address[1]}.sock" if folder else None
 
 
 def count_descriptors() -> int:
-    """How many this process holds."""
+    """Return the number of open file descriptors of this process."""
     return len(os.listdir("/proc/self/fd"))
 
 
-def _encode(word: str, numbers: Iterable[int]) -> bytes:
-    return " ".join((word, *map(str, numbers))).encode() + b"\n"
+def _encode(name: str, numbers: Iterable[int]) -> bytes:
+    return " ".join((name, *map(str, numbers))).encode() + b"\n"
 
 
-def send_message(sock: trio.socket.SocketType, word: str, *numbers: int) -> None:
-    """Tell the other process; if it does not listen there is nobody to tell."""
+def send_message(sock: trio.socket.SocketType, name: str, *numbers: int) -> None:
+    """Send a message to the other process; errors are ignored, since then it no longer reads."""
     with contextlib.suppress(OSError):
-        os.write(sock.fileno(), _encode(word, numbers))
+        os.write(sock.fileno(), _encode(name, numbers))
 
 
-def send_messages(sock: trio.socket.SocketType, word: str, rows: Iterable[tuple[int, ...]]) -> None:
-    """Tell the other process one word for each row, and wait for it to take them in, `SAY_ALL_S` at most.
+def send_messages(sock: trio.socket.SocketType, name: str, messages: Iterable[tuple[int, ...]]) -> None:
+    """Send a message for each tuple of numbers, waiting up to `SEND_TIMEOUT_S` while the socket's buffer is full.
 
-    Guards against words lost in a full queue: each write of its own takes many times its size there.
+    All messages are written together, since a write of its own takes many times the size of a message in the buffer:
+    separate writes fill the buffer and later messages are lost.
     """
-    data = memoryview(b"".join(_encode(word, numbers) for numbers in rows))
+    data = memoryview(b"".join(_encode(name, numbers) for numbers in messages))
     writable = select.poll()
     writable.register(sock.fileno(), select.POLLOUT)
-    until = time.monotonic() + SEND_ALL_TIMEOUT_S
+    deadline_s = time.monotonic() + SEND_TIMEOUT_S
     with contextlib.suppress(OSError):
-        while data and time.monotonic() < until:
+        while data and time.monotonic() < deadline_s:
             try:
                 data = data[os.write(sock.fileno(), data) :]
             except BlockingIOError:
-                writable.poll(max(1, int(1000 * (until - time.monotonic()))))
+                writable.poll(max(1, int(1000 * (deadline_s - time.monotonic()))))
 
 
 async def receive(sock: trio.socket.SocketType) -> AsyncIterator[tuple[str, list[int]]]:
-    """The other process's words, each with its numbers, until it ends; what cannot be read is passed over."""
+    """Yield the messages of the other process, each with its numbers, until it exits; malformed ones are skipped."""
     unread = b""
     with contextlib.suppress(OSError):
         while len(unread) < MAX_UNREAD_BYTES and (data := await sock.recv(MAX_UNREAD_BYTES)):
             *lines, unread = (unread + data).split(b"\n")
             for line in lines:
-                word, *numbers = line.decode("ascii", "replace").split() or [""]
+                name, *numbers = line.decode("ascii", "replace").split() or [""]
                 if all(n.isdecimal() and len(n) <= 20 for n in numbers):
-                    yield word, [int(n) for n in numbers]
+                    yield name, [int(n) for n in numbers]
 
 
 async def send_listener(sock: trio.socket.SocketType, listener: trio.socket.SocketType) -> None:
-    """Hand the listener over, with an empty line."""
-    handle = array.array("i", [listener.fileno()])
-    await sock.sendmsg([b"\n"], [(socket.SOL_SOCKET, socket.SCM_RIGHTS, handle)])
+    """Pass the listener to the successor, together with an empty line."""
+    descriptor = array.array("i", [listener.fileno()])
+    await sock.sendmsg([b"\n"], [(socket.SOL_SOCKET, socket.SCM_RIGHTS, descriptor)])
 
 
 async def receive_listener(
     path: Path | None, address: tuple[str, int]
 ) -> tuple[trio.socket.SocketType, trio.socket.SocketType] | None:
-    """The listener of the process that serves at the address, and the connection to it; None without one."""
+    """Take over the listener of the process that serves the address.
+
+    Returns the listener and the connection to that process, or None if there is no such process.
+    """
     if path is None:
         return None
     sock = trio.socket.socket(socket.AF_UNIX)
-    handles = array.array("i")
-    inherited = None
+    descriptors = array.array("i")
+    received = None
     try:
         with trio.fail_after(PREDECESSOR_TIMEOUT_S):
             await sock.connect(str(path))
-            _, extra, _, _ = await sock.recvmsg(MAX_UNREAD_BYTES, socket.CMSG_SPACE(handles.itemsize))
-        for level, kind, data in extra:
+            _, ancillary, _, _ = await sock.recvmsg(MAX_UNREAD_BYTES, socket.CMSG_SPACE(descriptors.itemsize))
+        for level, kind, data in ancillary:
             if (level, kind) == (socket.SOL_SOCKET, socket.SCM_RIGHTS):
-                handles.frombytes(data[: len(data) - len(data) % handles.itemsize])
-        if len(handles) == 1:
-            listener = socket.socket(fileno=os.dup(handles[0]))
-            listens = listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
-            if listens and listener.getsockname() == address:
+                descriptors.frombytes(data[: len(data) - len(data) % descriptors.itemsize])
+        if len(descriptors) == 1:
+            listener = socket.socket(fileno=os.dup(descriptors[0]))
+            is_listening = listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
+            if is_listening and listener.getsockname() == address:
                 listener.setblocking(False)
-                inherited = trio.socket.from_stdlib_socket(listener)
-                return inherited, sock
+                received = trio.socket.from_stdlib_socket(listener)
+                return received, sock
             listener.close()
     except (OSError, ValueError, trio.TooSlowError):
-        pass  # no file, no socket, a dead or a silent peer: this process starts for itself
+        pass  # no file, not a socket, or a dead or unresponsive peer: this process opens its own listener
     finally:
-        for handle in handles:
-            os.close(handle)
-        if inherited is None:
+        for descriptor in descriptors:
+            os.close(descriptor)
+        if received is None:
             sock.close()
     return None
 
 
 @contextlib.asynccontextmanager
 async def listen_for_successors(path: Path | None) -> AsyncIterator[trio.socket.SocketType | None]:
-    """A socket for successors at the path, in place of whatever lies there; None if that cannot be."""
+    """Listen for successors at the path, replacing any file there; yields None if that fails."""
     if path is None:
         yield None
         return
-    ours = path.with_suffix(f".{os.getpid()}")
+    temporary_path = path.with_suffix(f".{os.getpid()}")
     with trio.socket.socket(socket.AF_UNIX) as sock:
         try:
-            ours.unlink(missing_ok=True)
-            await sock.bind(str(ours))
+            temporary_path.unlink(missing_ok=True)
+            await sock.bind(str(temporary_path))
             sock.listen(8)
-            made = ours.stat().st_ino
-            ours.replace(path)
+            inode = temporary_path.stat().st_ino
+            temporary_path.replace(path)
         except OSError:
             with contextlib.suppress(OSError):
-                ours.unlink(missing_ok=True)
+                temporary_path.unlink(missing_ok=True)
             yield None
             return
         try:
             yield sock
         finally:
-            with contextlib.suppress(OSError):  # it may be a successor's by now
-                if path.stat().st_ino == made:
+            with contextlib.suppress(OSError):  # the path may belong to a successor by now
+                if path.stat().st_ino == inode:
                     path.unlink()
--- a/latchturn/operations.py
+++ b/latchturn/operations.py
@@ -1,7 +1,7 @@
-"""The operators' words, as pure codecs: the lines of the admin listener, and the figures in StatsD form.
+"""Codecs of the admin listener: the commands of operators, the answers, and figures in StatsD format.
 
-Owns the calls that staff may make, the one table of figure names and types, and the text of every
-answer. It must never open a socket, keep a count or decide what an answer says: the reducer does.
+This module defines the commands, the names and types of the figures, and the format of the answers. It opens no
+socket, keeps no counts and does not decide on the content of an answer; the reducer does that.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 from enum import Enum
 
 METRIC_PREFIX = "edge_gw"
-MAX_LINE_BYTES = 256  # bytes of a call
-INVALID_NAME_CHARACTERS = re.compile(r"[^A-Za-z0-9_-]")  # what StatsD has other uses for, in a class name
+MAX_LINE_BYTES = 256  # of a command
+INVALID_NAME_CHARACTERS = re.compile(r"[^A-Za-z0-9_-]")  # in a class name; some have a meaning in StatsD
 
 
 class Command(Enum):
-    """What staff may ask for."""
+    """Commands of operators at the admin listener."""
 
     PING = "PING"
     INFO = "INFO"
@@ -24,8 +24,8 @@
     REJOIN = "REJOIN"
 
 
-# Every figure that staff read, with its StatsD type: counts from the start of the process, and gauges.
-CLASS_FIGURES = ("succeeded", "declined", "aborted")
+CLASS_FIGURES = ("succeeded", "declined", "aborted")  # kept for each class of calls
+# StatsD type of every figure that INFO shows: "c" counts since the start of the process, "g" is a gauge.
 FIGURE_TYPES = {
     **dict.fromkeys(CLASS_FIGURES, "c"),
     "forwards": "c",
@@ -38,7 +38,7 @@
 
 
 def parse_command(line: bytes) -> Command | None:
-    """The call in a line, None if it is none."""
+    """Return the command in a line, None if the line is not a command."""
     try:
         return Command(line.decode("ascii").strip())
     except ValueError:
@@ -46,12 +46,12 @@
 
 
 def class_figure_name(name: str, class_name: str) -> str:
-    """The name of a class's figure."""
+    """Return the name of a figure for one class of calls."""
     return f"{name}.{INVALID_NAME_CHARACTERS.sub('_', class_name)}"
 
 
 def render_statsd(figures: Mapping[str, int]) -> str:
-    """The figures of the table among those given, one a line."""
+    """Render those of the given figures that are listed in `FIGURE_TYPES`, one per line."""
     return "".join(
         f"{METRIC_PREFIX}.{name}:{value}|{FIGURE_TYPES[kind]}\n"
         for name, value in figures.items()
@@ -60,6 +60,6 @@
 
 
 def encode_answer(success: bool, text: str, figures: Mapping[str, int] | None = None) -> bytes:
-    """An answer as its bytes: a line, and behind it the figures, if any, and their end."""
+    """Encode an answer: a status line, followed by the figures and a line with END if figures are given."""
     body = "" if figures is None else render_statsd(figures) + "END\n"
     return f"{'OK' if success else 'ERR'} {text}\n{body}".encode()
