--- a/latchturn/checking/pairs.py
+++ b/latchturn/checking/pairs.py
@@ -14,32 +14,32 @@
 
 
 @contextmanager
-def record(into: Pairs) -> Iterator[None]:
+def record(counts: Pairs) -> Iterator[None]:
     """Count every move of every machine while this lasts."""
-    go = Machine.next_state
+    original = Machine.next_state
 
     def counted(self: Machine[IntEnum, IntEnum], state: IntEnum, move: IntEnum) -> IntEnum:
-        into[self.name, state.name, move.name] += 1
-        return go(self, state, move)
+        counts[self.name, state.name, move.name] += 1
+        return original(self, state, move)
 
     Machine.next_state = counted  # type: ignore[method-assign,assignment]
     try:
         yield
     finally:
-        Machine.next_state = go  # type: ignore[method-assign]
+        Machine.next_state = original  # type: ignore[method-assign]
 
 
-def table(pairs: Pairs) -> list[tuple[Pair, int, str]]:
+def pair_counts(pairs: Pairs) -> list[tuple[Pair, int, str]]:
     """Every pair with how often it was met, and for those that cannot be the reason why."""
     rows = []
     for machine in MACHINES:
         for state in machine.states:
-            for move in machine.transitions:
+            for move in machine.transition_kinds:
                 pair = (machine.name, state.name, move.name)
                 rows.append((pair, pairs[pair], machine.impossible.get((state, move), "")))
     return rows
 
 
-def unmet(pairs: Pairs) -> list[Pair]:
+def unmet_pairs(pairs: Pairs) -> list[Pair]:
     """The pairs that can be and were not met."""
-    return [pair for pair, count, reason in table(pairs) if not reason and not count]
+    return [pair for pair, count, reason in pair_counts(pairs) if not reason and not count]
