--- a/latchturn/checking/scopes.py
+++ b/latchturn/checking/scopes.py
@@ -1,8 +1,8 @@
 """The scopes: how many exchanges and calls, and how often each kind of choice may be made on one path.
 
-A kind that a scope does not name is never offered there. Times are compressed (a pause of 120 ms, an aim of
-0.6 s, a wait of 0.9 s), so that a call meets few of the reducer's own moments; the laws read these figures from the
-settings, and the order of the figures is that of the real ones.
+A kind that a scope does not name is never offered there. Times are compressed (a pause of 120 ms, a set-up target of
+0.6 s, a wait of 0.9 s), so that few of the reducer's timers run during a call. The properties read these times from the
+settings, and their order is that of the real settings.
 """
 
 from __future__ import annotations
@@ -19,19 +19,22 @@
     list_on_request=False, ask_within_us=0, max_retry_after_us=200_000, resend_us=0, tenants=("acme",),
 )  # fmt: skip
 WAIT_MS = 900
-# What the settings become at SIGHUP, by the variant's name.
+# Settings that SIGHUP applies, by the name of the variant.
 OTHER_CLASS = i.CallClass("renewal", 1.0, 0.1, 600_000, 900_000, 1, 3 * SECOND_US)
 VARIANTS = {
     "fewer": replace(SETTINGS, max_attempts=1),
     "vanished": replace(SETTINGS, classes=(OTHER_CLASS,)),
-    "moved": SETTINGS,  # the command channel has another address
+    "moved": SETTINGS,  # only the address of the command channel changes
 }
 
 
 @dataclass(frozen=True)
 class Scope:
-    """One bounded world. `budgets` says how often a kind of choice may be made; `refusals` names the causes that
-    exchanges may refuse with."""
+    """The bounds of one exploration.
+
+    `budgets` limits how often each kind of choice may be made on a path. `refusals` names the refusals that exchanges
+    may send, keys of `environment.REFUSALS`.
+    """
 
     name: str
     about: str
@@ -40,32 +43,32 @@
     budgets: dict[str, int] = field(default_factory=dict)
     refusals: tuple[str, ...] = ()
     callers: int = 1  # connections of callers
-    rare_choices: int = 2  # choices on one path that are not of the common kinds
-    idle_steps: int = 1  # moments that pass while no answer is owed
-    starts_beside_another: bool = False  # whether the program starts beside one that serves
-    first_kinds: tuple[str, ...] = ()  # kinds among which the first choice is; all if none is named
+    rare_choices: int = 2  # limit of choices on a path that are not in `environment.COMMON_KINDS`
+    idle_steps: int = 1  # limit of steps of the clock while no caller waits for an answer
+    starts_beside_another: bool = False  # the program starts while its predecessor still serves
+    first_kinds: tuple[str, ...] = ()  # kinds that the first choice may have; not used yet
     leaves_out: str = ""
 
 
 _ALL_SCOPES = [
     Scope(
-        "mini", "one exchange, one call: the smallest world in which most properties can be broken",
+        "mini", "one exchange, one call: the smallest scope in which most properties can be violated",
         1, 1, {"answer": 9, "refuse": 5, "reset": 1, "end": 1, "late": 1, "give_up": 1, "release": 1,
                "hang_up": 1},
         ("reset", "full"), rare_choices=1,
-        leaves_out="tandems, the list, operators, slow writes, more than one rare thing",
+        leaves_out="tandems, the list, operators, slow writes, more than one rare choice",
     ),
     Scope(
-        "tries", "two exchanges that turn every attempt away at once",
+        "tries", "two exchanges that refuse every attempt at once",
         2, 1, {"answer": 9, "refuse": 9}, ("full", "error"), rare_choices=0,
-        leaves_out="all that is rare",
+        leaves_out="all rare choices",
     ),
     Scope(
-        "two", "two exchanges, one call, four attempts: every way in which attempts end, and a late word",
+        "two", "two exchanges, one call, four attempts: every way in which attempts end, and a late reply",
         2, 1, {"answer": 9, "refuse": 5, "reset": 1, "end": 1, "late": 1, "give_up": 1, "release": 1,
                "drain": 1},
         ("reset", "full", "error"), rare_choices=2,
-        leaves_out="slow writes, dying exchanges, operators, a second connection, moments between timers",
+        leaves_out="slow writes, dying exchanges, operators, a second connection, times between timers",
     ),
     Scope(
         "three", "three exchanges, one call: tandems, the list and deaths",
@@ -77,23 +80,23 @@
         "calls", "two exchanges, two calls on two connections: ids, releases and connections that cross",
         2, 2, {"answer": 9, "end": 2, "give_up": 1, "release": 1, "reset": 1, "hang_up": 1},
         callers=2, rare_choices=1,
-        leaves_out="refusals, the list, operators, late words, slow writes, more than one rare thing",
+        leaves_out="refusals, the list, operators, late replies, slow writes, more than one rare choice",
     ),
     Scope(
-        "writes", "slow and partial writes: a give-up half written, an answer before the write is told",
+        "writes", "slow and partial writes: a partly written give-up, an answer before the write is reported complete",
         1, 1, {"answer": 9, "refuse": 1, "stall": 1, "stall_caller": 1, "arrive": 1, "through": 4, "give_up": 1,
                "late": 1,
                "reset": 1, "drain": 1, "hang_up": 1, "end": 1},
         ("reset",), callers=2, rare_choices=2, leaves_out="more than one stall, a second call",
     ),
     Scope(
-        "list", "the list: drains in the pause, new ids at an old address, events twice, a broken channel",
+        "list", "the list: drains in the pause, new ids at an old address, repeated updates, a lost command channel",
         2, 1, {"answer": 9, "refuse": 2, "drain": 1, "ready": 1, "gone": 1, "replaced": 1, "list_twice": 1,
                "channel_lost": 1, "reset": 1, "end": 1},
         ("reset",), rare_choices=2, leaves_out="dying processes, operators",
     ),
     Scope(
-        "deaths", "exchanges that die, refuse, stay silent and return, with a call out or standing",
+        "deaths", "exchanges that die, refuse, stay silent and return, with an attempt outstanding or a standing call",
         1, 1, {"answer": 9, "refuse": 1, "die": 1, "return": 1, "refuse_link": 1, "accept": 9,
                "end": 1, "drain": 1},
         ("full",), rare_choices=2, leaves_out="new ids, callers that give up, group states",
@@ -104,42 +107,42 @@
         ("full",), rare_choices=2, leaves_out="deaths, new ids, slow writes",
     ),
     Scope(
-        "operators", "SIGTERM and a successor that comes and goes, round one call",
+        "operators", "SIGTERM and a successor that starts and stops serving, during one call",
         1, 1, {"answer": 9, "refuse": 1, "reset": 1, "end": 1, "sigterm": 1, "succeed": 1, "unsucceed": 1},
         ("reset",), rare_choices=2, idle_steps=24, leaves_out="drains and new settings, the list, slow writes",
     ),
     Scope(
-        "settings", "drain, rejoin and new settings, round one call and its redial",
+        "settings", "drain, rejoin and new settings, during one call and its redial",
         1, 1, {"answer": 9, "refuse": 2, "reset": 1, "end": 1, "lameduck": 1, "rejoin": 1, "sighup": 1,
                "redial": 1},
-        ("reset",), rare_choices=2, idle_steps=3, leaves_out="SIGTERM, the list, late words, slow writes",
+        ("reset",), rare_choices=2, idle_steps=3, leaves_out="SIGTERM, the list, late replies, slow writes",
     ),
     Scope(
-        "succession", "a process that starts beside one that serves, takes over and inherits a call",
+        "succession", "a process that starts while its predecessor serves, takes over and inherits a call",
         1, 1, {"answer": 9, "refuse": 1, "inherit": 1, "end": 2, "release": 1, "passed_on": 1, "group": 1,
                "sigterm": 1, "reset": 1},
-        ("full",), rare_choices=2, starts_beside_another=True, leaves_out="the list, late words, slow writes",
+        ("full",), rare_choices=2, starts_beside_another=True, leaves_out="the list, late replies, slow writes",
     ),
     Scope(
-        "rude", "callers that use ids again, hang up and come again",
+        "rude", "misbehaving callers: they reuse ids, hang up and connect again",
         1, 1, {"answer": 9, "refuse": 1, "same_id": 2, "other_id": 1, "hang_up": 2, "end": 1, "release": 1,
                "redial": 1, "connect": 1},
         ("reset",), callers=1, rare_choices=2, idle_steps=6, leaves_out="the list, operators, slow writes",
     ),
     Scope(
-        "broken", "callers that send half a message or garbage, or close one side",
+        "broken", "callers that send part of a message or malformed input, or close their sending direction",
         1, 1, {"answer": 9, "refuse": 1, "half": 1, "whole": 1, "garble": 1, "half_close": 1, "hang_up": 1,
                "end": 1, "connect": 1},
         ("reset",), callers=1, rare_choices=2, idle_steps=6, leaves_out="the list, operators, slow writes",
     ),
     Scope(
-        "strays", "exchanges that say things late, twice and on another link",
+        "strays", "exchanges that reply late, twice and on another link",
         1, 1, {"answer": 9, "refuse": 2, "late": 2, "twice": 2, "astray": 1, "end": 1, "give_up": 1,
                "reset": 1},
         ("reset", "full"), rare_choices=2, leaves_out="the list, operators, slow writes",
     ),
     Scope(
-        "wide", "for random walks alone: five exchanges, thirty calls and everything",
+        "wide", "for random walks only: five exchanges, thirty calls and almost all kinds of choices",
         5, 30, dict.fromkeys(
             ("answer", "refuse", "reset", "end",
                 "cut", "late", "twice", "astray", "give_up", "release", "hang_up",
@@ -148,7 +151,7 @@
              "same_id", "other_id", "half", "whole", "half_close", "connect", "between"), 10_000),
         ("reset", "full", "error", "turned_back", "busy", "overload"), callers=4, rare_choices=1 << 30,
         idle_steps=1 << 30,
-        leaves_out="SIGTERM and a successor, after which little is left to happen",
+        leaves_out="SIGTERM and a successor, after which little can happen",
     ),
 ]  # fmt: skip
 SCOPES = {scope.name: scope for scope in _ALL_SCOPES}
