--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""The event trace: every close, retry, refusal and change of state can be read with its ids and its reason."""
+"""The event trace: each close, retry, refusal and state change is recorded with its ids and its reason."""
 
 from __future__ import annotations
 
@@ -47,18 +47,18 @@
         self.assertEqual((refused.call, refused.reason), (5, "its destination is not in the list as ready"))
         self.assertEqual(self.desk.figure("call_refused.destination_not_ready"), 1)
 
-    def test_closes_tell_a_reset_from_an_end(self) -> None:
-        for happened, reason in (
+    def test_close_reasons_distinguish_a_reset_from_an_end(self) -> None:
+        for make_input, reason in (
             (s.EndOfInput, CloseReason.PEER_ENDED),
             (s.ConnectionClosed, CloseReason.PEER_RESET),
-            (lambda stream: s.MalformedInput(stream, "spoilt"), CloseReason.GARBLED),
+            (lambda stream: s.MalformedInput(stream, "truncated"), CloseReason.GARBLED),
         ):
             self.desk = Desk()
-            self.desk.do(happened(self.desk.link[1]))
+            self.desk.do(make_input(self.desk.link[1]))
             closed = [r for r in self.records(TraceEvent.LINK_CLOSED) if r.stream == self.desk.link[1]]
             self.assertEqual([(r.exchange, r.reason) for r in closed], [(101, reason.value)])
 
-    def test_calls_that_end_with_their_exchange_are_named_with_its_silence(self) -> None:
+    def test_calls_that_end_with_their_exchange_are_listed_with_the_length_of_its_silence(self) -> None:
         self.desk.stand(5)
         self.desk.pass_time(SECOND)
         self.desk.session.calls.cut(self.desk.session.exchanges.by_id[101], self.desk.now, "is gone")
