--- a/tests/test_missed_ends.py
+++ b/tests/test_missed_ends.py
@@ -164,7 +164,7 @@
         self.assertIn(5, desk.session.calls.by_id)
 
     def test_the_end_may_be_lost_on_a_link_to_the_other_exchange_that_never_left_the_queue(self) -> None:
-        desk, start_us = self.desk, self.desk.now
+        desk, test_start_us = self.desk, self.desk.now
         desk.do(s.EndOfInput(self.links[102]))
         coming = [
             k for k, link in desk.session.links.by_stream.items() if link.exchange_id == 102 and not link.up_since_us
@@ -178,7 +178,7 @@
         )
         desk.do(s.Connected(lost))
         desk.do(s.ConnectionClosed(lost))
-        written = desk.pass_time_in_touch(start_us + NOTIFY_LIMIT_US - desk.now, SECOND // 4)
+        written = desk.pass_time_in_touch(test_start_us + NOTIFY_LIMIT_US - desk.now, SECOND // 4)
         self.assertIn((1, END), written)
 
 
