--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -49,15 +49,20 @@
 
 
 def settings_with(**fields: object) -> i.Settings:
+    """SETTINGS with other values in some fields."""
     return replace(SETTINGS, **fields)  # type: ignore[arg-type]
 
 
 def list_entry(number: int, state: i.ListState = i.ListState.READY, started: int = 0) -> i.ListEntry:
+    """An exchange in a list message; its id is its number plus 100. `started` is in microseconds, 0 for long ago."""
     return i.ListEntry(100 + number, number, state, started)
 
 
 class ControllerHarness:
-    """A controller with a clock, exchanges 0 to `remote_exchanges`, and counters for ids and attempts."""
+    """A controller with simulated time (microseconds), among exchanges 0, the own one, to `remote_exchanges`.
+
+    Numbers calls and attempts, and collects all actions of the controller.
+    """
 
     def __init__(
         self, settings: i.Settings = SETTINGS, remote_exchanges: int = 3, free: int = 40, size: int = 40
@@ -72,7 +77,8 @@
         for k in range(1, remote_exchanges + 1):
             self.report(k, free, size)
 
-    def handle(self, event: i.Event) -> list[i.Action]:
+    def submit(self, event: i.Event) -> list[i.Action]:
+        """Pass an event to the controller and return its actions."""
         actions = self.controller.handle(self.now, event)
         for action in actions:
             if isinstance(action, i.SendSetup):
@@ -83,29 +89,32 @@
         return actions
 
     def pass_time(self, us: int) -> list[i.Action]:
-        """Let time pass, with all timers on the way."""
+        """Advance the clock and run every timer that falls due."""
         end, actions = self.now + us, []
         while due := [t for t in self.timers if t[0] <= end]:
             first = min(due)
             self.timers.remove(first)
             self.now = max(self.now, first[0])
-            actions += self.handle(i.TimerDue(first[1]))
+            actions += self.submit(i.TimerDue(first[1]))
         self.now = end
         return actions
 
     def update_list(self, kind: i.ListKind, *entries: i.ListEntry) -> list[i.Action]:
-        return self.handle(i.ExchangeList(kind, list(entries)))
+        """Pass a list message to the controller."""
+        return self.submit(i.ExchangeList(kind, list(entries)))
 
     def report(self, number: int, free: int, size: int = 40, **figures: float) -> list[i.Action]:
-        report = i.LoadReport(free=free, size=size, **figures)  # type: ignore[arg-type]
-        return self.handle(i.ExchangeReport(100 + number, True, False, 0, report))
+        """Have an exchange report the circuits of its trunk group and other figures."""
+        load_report = i.LoadReport(free=free, size=size, **figures)  # type: ignore[arg-type]
+        return self.submit(i.ExchangeReport(100 + number, True, False, 0, load_report))
 
     def offer(self, to: int, cls: int = 0, called_number: int = 0, **more: object) -> tuple[int, list[i.Action]]:
+        """Offer a new call to exchange `to`; returns its id and the actions."""
         call, self.next_call = self.next_call, self.next_call + 1
         width = self.controller.settings.classes[cls].width
         deadline = more.pop("deadline_us", self.now + 3 * SECOND)
         offer = i.CallOffered(call, cls, to, called_number, width, deadline, **more)  # type: ignore[arg-type]
-        return call, self.handle(offer)
+        return call, self.submit(offer)
 
     def end_attempt(
         self,
@@ -116,20 +125,22 @@
         concluded: bool = False,
         **more: int,
     ) -> list[i.Action]:
+        """End the last attempt of a call, or the call after it was answered, at exchange `number`."""
         attempt = self.attempts[call]
-        return self.handle(i.AttemptEnded(call, attempt, 100 + number, outcome, 0, concluded, cause, **more))
+        return self.submit(i.AttemptEnded(call, attempt, 100 + number, outcome, 0, concluded, cause, **more))
 
     def answer(self, call: int, number: int) -> list[i.Action]:
-        return self.handle(i.CallAnswered(call, self.attempts[call], 100 + number, 0))
+        """Have exchange `number` answer the last attempt of a call."""
+        return self.submit(i.CallAnswered(call, self.attempts[call], 100 + number, 0))
 
 
 def sent_to(actions: list[i.Action]) -> list[int]:
-    """Numbers of the exchanges that set-ups were sent to."""
+    """Numbers of the exchanges to which set-ups were sent, in order."""
     return [a.exchange - 100 for a in actions if isinstance(a, i.SendSetup)]
 
 
 def final_answers(actions: list[i.Action]) -> list[int]:
-    """Calls that got their final answer."""
+    """Ids of the calls that were refused or failed, in order."""
     return [a.call for a in actions if isinstance(a, i.Refuse | i.Fail)]
 
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -145,9 +145,9 @@
     harness.attempts[99] = 0
     assert harness.end_attempt(99, 1, i.Outcome.RELEASED) == []
     assert harness.answer(99, 1) == []
-    assert harness.handle(i.CallerLeft(99)) == []
-    assert harness.handle(i.TimerDue(12345)) == []
-    assert harness.handle(i.ExchangeReport(999, True, False, 0, i.LoadReport(free=1, size=2))) == []
+    assert harness.submit(i.CallerLeft(99)) == []
+    assert harness.submit(i.TimerDue(12345)) == []
+    assert harness.submit(i.ExchangeReport(999, True, False, 0, i.LoadReport(free=1, size=2))) == []
     call, _ = harness.offer(1)
     harness.answer(call, 1)
     assert harness.answer(call, 1) == []
@@ -236,7 +236,7 @@
 def test_a_caller_that_left_is_never_answered() -> None:
     harness = ControllerHarness()
     call, _ = harness.offer(1)
-    harness.handle(i.CallerLeft(call))
+    harness.submit(i.CallerLeft(call))
     assert harness.end_attempt(call, 1, i.Outcome.TIMED_OUT) == []
     assert harness.controller.calls == {} and harness.controller.groups[1].in_use == [0, 0]
 
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -36,8 +36,8 @@
         self.left: set[int] = set()
         super().__init__(settings_with(controllers=controllers), remote_exchanges=6)
 
-    def handle(self, event: i.Event) -> list[i.Action]:
-        actions = super().handle(event)
+    def submit(self, event: i.Event) -> list[i.Action]:
+        actions = super().submit(event)
         for action in actions:
             if isinstance(action, i.SendSetup):
                 assert action.call in self.unanswered and action.call not in self.outstanding
@@ -64,7 +64,7 @@
         attempt = self.attempts[call]
         done = call in self.left
         for _ in range(chance.choice((1, 1, 2))):
-            self.handle(i.AttemptEnded(call, attempt, 100 + number, outcome, 0, done, cause))
+            self.submit(i.AttemptEnded(call, attempt, 100 + number, outcome, 0, done, cause))
 
 
 @settings(max_examples=25, deadline=None, derandomize=True)
@@ -82,7 +82,7 @@
             width = harness.controller.settings.classes[cls].width
             transit, again = chance.random() < 0.2, chance.random() < 0.2
             number, called_number = chance.randrange(1, 7), chance.randrange(20)
-            harness.handle(i.CallOffered(call, cls, number, called_number, width, deadline, transit, again))
+            harness.submit(i.CallOffered(call, cls, number, called_number, width, deadline, transit, again))
         elif roll < 0.75 and harness.outstanding:
             harness.finish(chance.choice(sorted(harness.outstanding)), chance)
         elif roll < 0.8 and harness.standing:
@@ -101,7 +101,7 @@
                 harness.left.add(call)
                 if call not in harness.outstanding:
                     harness.unanswered.pop(call)
-                harness.handle(i.CallerLeft(call))
+                harness.submit(i.CallerLeft(call))
         else:
             harness.report(chance.randrange(1, 7), chance.randrange(41), chance.choice((0, 5, 40)))
         harness.pass_time(chance.randrange(100_000))
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -28,8 +28,8 @@
             for number in range(21, 26):
                 self.report(number, 40, setups_per_s=MORE)
 
-    def handle(self, event: i.Event) -> list[i.Action]:
-        actions = super().handle(event)
+    def submit(self, event: i.Event) -> list[i.Action]:
+        actions = super().submit(event)
         for action in list(actions):
             if isinstance(action, i.SendSetup):
                 number = action.exchange - 100
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -75,7 +75,7 @@
         self.use(desk, NEXT, PLAIN)
         desk.hear(1, set_up(2))
         module = desk.session.decision_module.controller.calls
-        self.assertEqual([module[1].cls.name, module[2].cls.name], ["premium_quote", PLAIN.name])
+        self.assertEqual([module[1].call_class.name, module[2].call_class.name], ["premium_quote", PLAIN.name])
         desk.hear(desk.link[1], p.Answer(1, b"yes"))
         self.assertEqual(desk.figure("succeeded.premium_quote"), 1)
 
@@ -101,7 +101,7 @@
         for before, after, more in ((4, 1, False), (4, 2, True), (1, 4, False)):
             harness = ControllerHarness(settings_with(max_attempts=before))
             call, _ = harness.offer(1)
-            harness.handle(i.SettingsChanged(settings_with(max_attempts=after)))
+            harness.submit(i.SettingsChanged(settings_with(max_attempts=after)))
             actions = harness.end_attempt(call, 1, i.Outcome.TURNED_AWAY, i.Cause.NO_CIRCUIT)
             self.assertEqual((bool(sent_to(actions)), bool(final_answers(actions))), (more, not more))
 
@@ -110,12 +110,12 @@
         call, _ = harness.offer(1)
         harness.report(1, 0)
         self.assertEqual(final_answers(harness.end_attempt(call, 1, i.Outcome.TURNED_AWAY, i.Cause.NO_CIRCUIT)), [])
-        self.assertEqual(final_answers(harness.handle(i.SettingsChanged(settings_with(max_attempts=1)))), [call])
+        self.assertEqual(final_answers(harness.submit(i.SettingsChanged(settings_with(max_attempts=1)))), [call])
 
     def test_a_call_keeps_its_class(self) -> None:
         harness = ControllerHarness()
         call, _ = harness.offer(1, cls=2)
-        harness.handle(i.SettingsChanged(settings_with(classes=SETTINGS.classes[:1])))
+        harness.submit(i.SettingsChanged(settings_with(classes=SETTINGS.classes[:1])))
         self.assertEqual(harness.controller.calls[call].call_class.name, "urgent")
         self.assertEqual(final_answers(harness.answer(call, 1)), [])
 
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -44,7 +44,7 @@
     def test_a_refusal_names_its_reason_and_is_counted_by_it(self) -> None:
         self.desk.hear(1, set_up(5, to=9))
         (refused,) = self.records(TraceEvent.CALL_REFUSED)
-        self.assertEqual((refused.call, refused.reason), (5, "its destination is not in the list as ready"))
+        self.assertEqual((refused.call, refused.reason), (5, "its destination is not listed as ready"))
         self.assertEqual(self.desk.figure("call_refused.destination_not_ready"), 1)
 
     def test_closes_tell_a_reset_from_an_end(self) -> None:
