--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Build, test, lint and run. The build line itself stands in deploy/balancer.toml.
+# Build, test, lint and run. The build and run commands are defined in deploy/balancer.toml.
 PYTHON = .venv/bin/python
 DEPLOY = python3 -c 'import sys, tomllib; print(tomllib.load(open("deploy/balancer.toml", "rb"))[sys.argv[1]])'
 
--- a/latchturn/__init__.py
+++ b/latchturn/__init__.py
@@ -1,4 +1,4 @@
-"""latchturn: a session controller and its decisions."""
+"""latchturn: a session controller for telephone calls and its decision module."""
 
 from .brain import Controller
 
--- a/latchturn/benchlink.py
+++ b/latchturn/benchlink.py
@@ -1,6 +1,13 @@
-"""The bench's wire: frames and settings in, actions out, one `Controller` per instance.
+"""The adapter to the simulator: passes batches of events to `Controller` instances and returns their actions.
 
-Reads batches on standard input and writes one reply each on standard output. It decides nothing.
+It reads batches on standard input and writes one reply to each on standard output. A batch holds event records of
+48 bytes and a tail with settings and list entries. A reply holds action records of 24 bytes and a tail with texts.
+The module also reads the settings and the load reports of the real program. It makes no decisions.
+
+Event codes: 0 exchange list, 1 instance starts, 2 call offered, 3 attempt ended, 4 ignored, 5 caller left,
+6 timer due, 7 instance stops, 8 call answered, 9 exchange report, 10 declaration of a list.
+Action codes: 65 set timer, 66 send set-up, 68 log, 69 refuse, 70 subscribe to the exchange list, 72 fail,
+73 fault.
 """
 
 from __future__ import annotations
@@ -13,10 +20,11 @@
 from . import interface as i
 from .brain import Controller
 
-FRAME_HEADER = struct.Struct("<QII")
-REPLY_HEADER = struct.Struct("<II")
-EVENT_SIZE = 48
-ACTION_SIZE = 24
+FRAME_HEADER = struct.Struct("<QII")  # time in microseconds, number of bytes that follow, number of event records
+REPLY_HEADER = struct.Struct("<II")  # number of action records, number of bytes that follow
+EVENT_SIZE = 48  # bytes of an event record
+ACTION_SIZE = 24  # bytes of an action record
+# Layouts of a list entry, of the event records (after the code) and of the action records.
 LIST_ENTRY = struct.Struct("<QBIBBfH")
 START = struct.Struct("<xIQII")
 LIST_TABLE = struct.Struct("<xBII")
@@ -32,7 +40,7 @@
 ACTION_ONE_NUMBER = struct.Struct("<BII15x")
 ACTION_FLAG = struct.Struct("<BIB18x")
 
-OUTCOMES = {
+OUTCOMES = {  # outcome by its code on the wire
     200: i.Outcome.RELEASED,
     502: i.Outcome.NO_LINE,
     429: i.Outcome.TURNED_AWAY,
@@ -43,6 +51,7 @@
     409: i.Outcome.NOT_SENT,
 }
 CAUSES = {1: i.Cause.NO_CIRCUIT, 2: i.Cause.REFUSED_BY_TANDEM, 3: i.Cause.PROCESSOR_FULL, 4: i.Cause.NUMBER_BUSY}
+# Field of `interface.LoadReport` for each name of a figure in a report.
 REPORT_FIELDS = {
     "spare": "free",
     "total": "size",
@@ -53,20 +62,20 @@
     "pending": "queue_length",
 }
 
-
+# Largest plausible value for each field of a report; 1e12 for the others.
 MAX_FIGURES = {"free": 1e6, "size": 1e6, "setups_per_s": 1e6, "throttle_share": 1.0, "busy_share": 1.0}
 
 
 class WireError(Exception):
-    """A frame that cannot be read: what, and at which offset of the input."""
+    """A frame is malformed; the message tells what is wrong and at which offset of the input."""
 
 
 class SettingsError(Exception):
-    """A setting that is needed but missing or unreadable."""
+    """A required setting is missing, or a setting cannot be parsed."""
 
 
 class _SettingLines:
-    """The path=value lines of the settings."""
+    """The settings by path. Each method returns one of them as the type in its name, or raises SettingsError."""
 
     def __init__(self, text: str) -> None:
         self.values: dict[str, str] = {}
@@ -114,7 +123,7 @@
 
 
 def read_settings(text: str) -> tuple[i.Settings, list[str | None]]:
-    """The settings of an instance, and the report fields in their order."""
+    """Parse lines of path=value into the settings and the fields of load reports in their order."""
     lines = _SettingLines(text)
     count = lines.integer("grades.count")
     widths = lines.integers("family-info.widths", ",".join(["1"] * count))
@@ -173,7 +182,7 @@
 
 
 def read_report(figures: Iterable[tuple[str | None, float]]) -> i.LoadReport:
-    """A load report from figures by their field; those unknown, absent or out of reason are left out."""
+    """Build a load report from figures with their field names; unknown and implausible figures are left out."""
     report = i.LoadReport()
     for name, value in figures:
         if name is None or not 0.0 <= value <= MAX_FIGURES.get(name, 1e12):
@@ -185,7 +194,7 @@
         else:
             setattr(report, name, value)
     if report.free is not None and report.size is not None and report.free > report.size:
-        report.free = report.size = None  # guards the bounds of a group: one of the two is wrong
+        report.free = report.size = None  # one of the two is wrong; both would give the group impossible bounds
     return report
 
 
@@ -198,38 +207,41 @@
         self.controller = controller
         self.fields = fields
 
-    def report(self, n: int, values: tuple[float, ...]) -> i.LoadReport | None:
-        return read_report(zip(self.fields[:n], values)) if n else None
+    def report(self, field_count: int, values: tuple[float, ...]) -> i.LoadReport | None:
+        """Build a load report from the first `field_count` values, None if there are none."""
+        return read_report(zip(self.fields[:field_count], values)) if field_count else None
 
 
 class BatchHandler:
-    """Turns batches into replies; holding_times_us the instances of one process."""
+    """Answers batches; keeps the instances and the declared lists of one process."""
 
     def __init__(self) -> None:
         self.instances: dict[int, _Instance] = {}
         self.lists: dict[int, list[i.ListEntry]] = {}
 
     def handle_batch(self, now_us: int, count: int, body: bytes, offset: int) -> bytes:
-        """The reply to one batch; `offset` is where its body lies in the input."""
+        """Return the reply to one batch; `offset` is the position of its body in the input, for error messages."""
         if count * EVENT_SIZE > len(body):
             raise WireError(f"{count} records do not fit a frame of {len(body)} bytes at offset {offset}")
-        tail_at = count * EVENT_SIZE
+        tail_start = count * EVENT_SIZE
         records: list[bytes] = []
         tail = bytearray()
-        for at in range(0, tail_at, EVENT_SIZE):
+        for at in range(0, tail_start, EVENT_SIZE):
             try:
-                self.handle_event(now_us, body, at, tail_at, records, tail)
+                self.handle_event(now_us, body, at, tail_start, records, tail)
             except WireError as error:
                 raise WireError(f"{error} at offset {offset + at}") from None
         payload = b"".join(records)
         return REPLY_HEADER.pack(len(records), len(payload) + len(tail)) + payload + bytes(tail)
 
-    def handle_event(self, now: int, body: bytes, at: int, tail_at: int, out: list[bytes], tail: bytearray) -> None:
-        """One event record at `at` of the frame's body."""
+    def handle_event(
+        self, now: int, body: bytes, at: int, tail_start: int, records: list[bytes], tail: bytearray
+    ) -> None:
+        """Process the event record at `at` in the body; append action records and texts to `records` and `tail`."""
         code = body[at]
         if code == 10:
             table, start, count = LIST_TABLE.unpack_from(body, at)
-            begin = tail_at + start
+            begin = tail_start + start
             if begin + count * LIST_ENTRY.size > len(body):
                 raise WireError("list entries outside the frame")
             self.lists[table] = [self.read_entry(body, begin + k * LIST_ENTRY.size) for k in range(count)]
@@ -239,15 +251,15 @@
         (instance_id,) = INSTANCE.unpack_from(body, at)
         if code == 1:
             _, seed, start, size = START.unpack_from(body, at)
-            if tail_at + start + size > len(body):
+            if tail_start + start + size > len(body):
                 raise WireError("settings outside the frame")
-            raw = body[tail_at + start : tail_at + start + size]
+            raw = body[tail_start + start : tail_start + start + size]
             self.instances.pop(instance_id, None)
             try:
                 settings, fields = read_settings(raw.decode("utf-8"))
                 self.instances[instance_id] = _Instance(Controller(settings, seed), fields)
             except (SettingsError, ValueError) as error:
-                self.write_text(73, instance_id, str(error), out, tail)
+                self.write_text(73, instance_id, str(error), records, tail)
             return
         instance = self.instances.get(instance_id)
         if code == 7:
@@ -260,31 +272,34 @@
             return
         try:
             actions = instance.controller.handle(now, event)
-        except Exception as error:  # noqa: BLE001 - told to the operator in so many words
-            self.write_text(73, instance_id, f"{type(error).__name__}: {error}", out, tail)
+        except Exception as error:  # noqa: BLE001 - reported as a fault action with its text
+            self.write_text(73, instance_id, f"{type(error).__name__}: {error}", records, tail)
             return
         for action in actions:
-            self.write_action(instance_id, action, out, tail)
+            self.write_action(instance_id, action, records, tail)
 
     @staticmethod
     def read_entry(body: bytes, at: int) -> i.ListEntry:
+        """Decode the list entry at `at`."""
         started, state, exchange, _, _, _, number = LIST_ENTRY.unpack_from(body, at)
         if state not in (1, 2, 3):
             raise WireError(f"list entry with readiness {state}")
         return i.ListEntry(exchange, number, i.ListState(state), started)
 
     def read_event(self, code: int, body: bytes, at: int, instance: _Instance) -> i.Event | None:
-        """The event of a record, in the module's terms; None for what the module has no use for."""
+        """Decode an event record into an event of the decision module, None if the module does not use it."""
         if code == 2:
-            (_, call, _, cls, options, item, _, deadline, width, via, dest) = CALL_OFFERED.unpack_from(body, at)
-            if not (0 <= dest < 65536 and 0 < width < 65536 and -1 <= via < 65536):
+            (_, call, _, class_index, flags, called_number, _, deadline, width, via, destination) = (
+                CALL_OFFERED.unpack_from(body, at)
+            )
+            if not (0 <= destination < 65536 and 0 < width < 65536 and -1 <= via < 65536):
                 raise WireError("call with an impossible destination, width or via")
             return i.CallOffered(
-                call, cls, int(dest), item, int(width), deadline,
-                bool(options & 8), bool(options & 2), bool(options & 16), int(via),
+                call, class_index, int(destination), called_number, int(width), deadline,
+                bool(flags & 8), bool(flags & 2), bool(flags & 16), int(via),
             )  # fmt: skip
         if code == 3:
-            (_, call, n, exchange, outcome_code, elapsed_us, concluded, cause_code, fields, *values) = (
+            (_, call, attempt, exchange, outcome_code, elapsed_us, concluded, cause_code, fields, *values) = (
                 ATTEMPT_ENDED.unpack_from(body, at)
             )
             outcome = OUTCOMES.get(outcome_code)
@@ -297,10 +312,10 @@
             elif cause is i.Cause.PROCESSOR_FULL:
                 wait = (cause_code >> 4) * 1000
             report = instance.report(fields, tuple(values))
-            return i.AttemptEnded(call, n, exchange, outcome, elapsed_us, bool(concluded), cause, wait, report)
+            return i.AttemptEnded(call, attempt, exchange, outcome, elapsed_us, bool(concluded), cause, wait, report)
         if code == 8:
-            _, call, n, elapsed_us, exchange = CALL_ANSWERED.unpack_from(body, at)
-            return i.CallAnswered(call, n, exchange, elapsed_us)
+            _, call, attempt, elapsed_us, exchange = CALL_ANSWERED.unpack_from(body, at)
+            return i.CallAnswered(call, attempt, exchange, elapsed_us)
         if code == 9:
             (_, elapsed_us, exchange, outcome_code, fields, *values) = EXCHANGE_REPORT.unpack_from(body, at)
             report = instance.report(fields, tuple(values)) or i.LoadReport()
@@ -323,40 +338,41 @@
         return None
 
     @staticmethod
-    def write_text(code: int, instance_id: int, message: str, out: list[bytes], tail: bytearray) -> None:
+    def write_text(code: int, instance_id: int, message: str, records: list[bytes], tail: bytearray) -> None:
+        """Append an action record with a text, which goes into the tail of the reply."""
         raw = message.encode("utf-8")
-        out.append(ACTION_TWO_NUMBERS.pack(code, instance_id, len(tail), len(raw)))
+        records.append(ACTION_TWO_NUMBERS.pack(code, instance_id, len(tail), len(raw)))
         tail += raw
 
-    def write_action(self, instance_id: int, action: i.Action, out: list[bytes], tail: bytearray) -> None:
-        """One action as a record."""
+    def write_action(self, instance_id: int, action: i.Action, records: list[bytes], tail: bytearray) -> None:
+        """Append the record of one action."""
         if isinstance(action, i.SendSetup):
-            out.append(ACTION_SEND_SETUP.pack(66, instance_id, action.call, action.exchange, action.timeout_us))
+            records.append(ACTION_SEND_SETUP.pack(66, instance_id, action.call, action.exchange, action.timeout_us))
         elif isinstance(action, i.Refuse):
-            out.append(ACTION_TWO_NUMBERS.pack(69, instance_id, action.call, action.retry_after_us))
+            records.append(ACTION_TWO_NUMBERS.pack(69, instance_id, action.call, action.retry_after_us))
         elif isinstance(action, i.SetTimer):
-            out.append(ACTION_TWO_NUMBERS.pack(65, instance_id, action.delay_us, action.token))
+            records.append(ACTION_TWO_NUMBERS.pack(65, instance_id, action.delay_us, action.token))
         elif isinstance(action, i.Fail):
-            out.append(ACTION_ONE_NUMBER.pack(72, instance_id, action.call))
+            records.append(ACTION_ONE_NUMBER.pack(72, instance_id, action.call))
         elif isinstance(action, i.SubscribeToList):
-            out.append(ACTION_FLAG.pack(70, instance_id, 1))
+            records.append(ACTION_FLAG.pack(70, instance_id, 1))
         elif isinstance(action, i.Log):
-            self.write_text(68, instance_id, action.text, out, tail)
+            self.write_text(68, instance_id, action.text, records, tail)
 
 
 def _read(source: BinaryIO, size: int) -> bytes:
-    parts = []
+    chunks = []
     while size > 0:
-        part = source.read(size)
-        if not part:
+        chunk = source.read(size)
+        if not chunk:
             break
-        parts.append(part)
-        size -= len(part)
-    return b"".join(parts)
+        chunks.append(chunk)
+        size -= len(chunk)
+    return b"".join(chunks)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends between two of them."""
+    """Answer batches until the input ends; raises WireError if it ends within a batch."""
     handler = BatchHandler()
     offset = 0
     while True:
@@ -382,7 +398,7 @@
 
 
 def main() -> None:
-    """Run on standard input and output."""
+    """Run on standard input and output; exits with code 2 after a malformed frame."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
--- a/latchturn/cli/__init__.py
+++ b/latchturn/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: `latchturn`, or `python -m latchturn.cli`. Nothing here is imported by the program that serves."""
+"""The command line, `latchturn` or `python -m latchturn.cli`. The program that serves calls imports nothing of it."""
--- a/latchturn/cli/__main__.py
+++ b/latchturn/cli/__main__.py
@@ -1,7 +1,7 @@
-"""The command `latchturn`: its sub-commands, and the way in which all of them log.
+"""The command `latchturn` with its sub-commands and their common options.
 
-Exit codes: 0 good; 1 what was checked does not hold; 2 bad usage or a file that cannot be used; 3 the time was up
-before there was a verdict.
+Exit codes: 0 success; 1 a checked property does not hold; 2 wrong usage or an invalid file; 3 the time limit was
+reached before there was a result.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 import click
 
 from .check import check
-from .logs import set_up
+from .logs import configure_logging
 
 
 @click.group()
-@click.option("--json-log", is_flag=True, help="Log lines as JSON.")
+@click.option("--json-log", is_flag=True, help="Write log lines as JSON.")
 @click.version_option(package_name="latchturn", prog_name="latchturn")
 def main(json_log: bool) -> None:
-    """latchturn: a session controller, and the tools round it."""
-    set_up(json_log)
+    """latchturn: a session controller and its tools."""
+    configure_logging(json_log)
 
 
 main.add_command(check)
