--- a/bench/explorer.py
+++ b/bench/explorer.py
@@ -1,4 +1,4 @@
-"""States a second of the explorer, with one process and with eight, on one scope in one run.
+"""Measures the states per second of the explorer with one process and with eight, on one scope.
 
 .venv/bin/python -m bench.explorer [SCOPE] [SECONDS]
 """
@@ -15,11 +15,11 @@
     seconds = float(sys.argv[2]) if len(sys.argv) > 2 else 20.0
     rates = []
     for jobs in (1, 8):
-        seen = explore(scope, jobs, seconds)
-        rates.append(seen.states / seen.seconds)
-        print(f"{jobs} processes: {seen.states} states, {seen.transitions} transitions, {seen.seconds:.1f} s, "
+        result = explore(scope, jobs, seconds)
+        rates.append(result.states / result.seconds)
+        print(f"{jobs} processes: {result.states} states, {result.transitions} transitions, {result.seconds:.1f} s, "
               f"{rates[-1]:.0f} states/s")  # fmt: skip
-    print(f"eight against one: {rates[1] / rates[0]:.2f}")
+    print(f"eight processes against one: {rates[1] / rates[0]:.2f}")
 
 
 if __name__ == "__main__":
--- a/bench/reducer.py
+++ b/bench/reducer.py
@@ -1,10 +1,11 @@
-"""The cost of a step of the reducer against an earlier version of it, on one recorded run of inputs.
+"""Compares the time per step of the reducer with that of an earlier revision, on one synthetic run of inputs.
 
     .venv/bin/python -m bench.reducer [REVISION]        (941b659: the last with the reducer in one file)
 
-Takes that version of the program out of the repository, records the inputs of one busy made-up run on today's
-version, and plays them to both in turn, several times, in one process. Prints the ratio of the times; the medians of
-pairs, so that what else the machine does falls out.
+Extracts the revision from the repository and plays the same busy run to both versions in turn, several times, in one
+process. Prints the ratio of the two times of each pair and the median ratio, which is little affected by other load on
+the machine. The run uses the current names of inputs, effects, messages and settings, so the revision must have them
+too; 941b659 does not.
 """
 
 from __future__ import annotations
@@ -22,13 +23,13 @@
 from types import ModuleType
 from typing import Any
 
-BEFORE = "941b659"
-CALLS = 4000
-ROUNDS = 15
+DEFAULT_REVISION = "941b659"
+CALLS = 4000  # in one run
+ROUNDS = 15  # pairs of runs
 
 
 def load(path: Path) -> tuple[ModuleType, ModuleType, ModuleType]:
-    """The session, protocol and interface modules of the version in a folder."""
+    """Import the session, protocol and interface modules of the version in a folder."""
     for name in [k for k in sys.modules if k.split(".")[0] == "latchturn"]:
         del sys.modules[name]
     sys.path.insert(0, str(path))
@@ -50,24 +51,27 @@
 
 
 def play(s: Any, p: Any, i: Any) -> float:
-    """Seconds in `step` for one run of calls, answers, refusals, ends and ticks among six exchanges."""
-    draw, core = random.Random(7), s.Session(settings(i), 7, 1024)
-    now, spent = 1_700_000_000_000_000, 0.0
+    """Play one run of calls, answers, refusals, ends and ticks with six exchanges. Returns the seconds spent in `step`.
+
+    The arguments are the session, protocol and interface modules of one version.
+    """
+    generator, session = random.Random(7), s.Session(settings(i), 7, 1024)
+    now_us, spent_s = 1_700_000_000_000_000, 0.0
     links: list[int] = []
 
-    def do(happened: Any) -> list[Any]:
-        nonlocal spent
-        began = time.perf_counter()
-        effects = core.step(now, happened)
-        spent += time.perf_counter() - began
+    def step(input_: Any) -> list[Any]:
+        nonlocal spent_s
+        started_s = time.perf_counter()
+        effects = session.step(now_us, input_)
+        spent_s += time.perf_counter() - started_s
         return effects
 
     written: list[tuple[int, Any]] = []
 
-    def feed(*inputs: Any) -> None:
+    def submit(*inputs: Any) -> None:
         queue = list(inputs)
         while queue:
-            for effect in do(queue.pop(0)):
+            for effect in step(queue.pop(0)):
                 if isinstance(effect, s.Write):
                     written.extend((effect.stream, m) for m in effect.messages)
                     queue.append(s.WriteCompleted(effect.stream))
@@ -76,43 +80,43 @@
                     queue.append(s.Connected(effect.stream))
                     queue.append(s.MessageReceived(effect.stream, p.GroupState(0, {"spare": 40, "total": 40})))
 
-    listed = tuple(
+    records = tuple(
         p.ExchangeRecord(i.ListEntry(100 + k, k, i.ListState.READY, 0), ("127.0.0.1", 5000 + k)) for k in range(7)
     )
-    feed(s.Started((p.ListUpdate(1, i.ListKind.FULL, listed),), 1, ("127.0.0.1", 9)), s.ListenerReady())
-    feed(*(s.Accepted(k) for k in range(1, 9)))
+    submit(s.Started((p.ListUpdate(1, i.ListKind.FULL, records),), 1, ("127.0.0.1", 9)), s.ListenerReady())
+    submit(*(s.Accepted(k) for k in range(1, 9)))
     for call in range(1, CALLS + 1):
-        now += draw.randrange(4_000, 12_000)
-        due = core.wake_us()
-        if due is not None and due <= now:
-            feed(s.Tick())
+        now_us += generator.randrange(4_000, 12_000)
+        due = session.wake_us()
+        if due is not None and due <= now_us:
+            submit(s.Tick())
         if call % 10 == 0:
-            feed(*(s.MessageReceived(k, p.GroupState(0, {"spare": 30 + call % 7, "total": 40})) for k in links))
-            feed(s.ChannelLost("made up"))
+            submit(*(s.MessageReceived(k, p.GroupState(0, {"spare": 30 + call % 7, "total": 40})) for k in links))
+            submit(s.ChannelLost("made up"))
         written.clear()
-        figures = {"dest": draw.randrange(1, 7), "width": 1, "via": -1}
-        word = "premium-quote"
-        caller = draw.randrange(1, 9)
-        feed(s.MessageReceived(caller, p.SetUp(call, word, 3000, f"{call:016x}", b"v=0", figures)))
+        figures = {"dest": generator.randrange(1, 7), "width": 1, "via": -1}
+        class_name = "premium-quote"
+        caller = generator.randrange(1, 9)
+        submit(s.MessageReceived(caller, p.SetUp(call, class_name, 3000, f"{call:016x}", b"v=0", figures)))
         for _ in range(4):
-            out = [(k, m) for k, m in written if k < 0 and isinstance(m, p.SetUp)]
+            set_ups = [(k, m) for k, m in written if k < 0 and isinstance(m, p.SetUp)]
             written.clear()
-            if not out:
+            if not set_ups:
                 break
-            link, message = out[-1]
-            if draw.random() < 0.8:
-                feed(s.MessageReceived(link, p.Answer(message.call, b"yes")))
-                feed(s.MessageReceived(link, p.Release(message.call, p.ReleaseCause.NORMAL)))
-                feed(s.MessageReceived(caller, p.ReleaseConfirmed(message.call)))
+            link, message = set_ups[-1]
+            if generator.random() < 0.8:
+                submit(s.MessageReceived(link, p.Answer(message.call, b"yes")))
+                submit(s.MessageReceived(link, p.Release(message.call, p.ReleaseCause.NORMAL)))
+                submit(s.MessageReceived(caller, p.ReleaseConfirmed(message.call)))
             else:
-                feed(s.MessageReceived(link, p.Release(message.call, p.ReleaseCause.NO_CIRCUIT, "turned_back")))
-    assert core.counters["attempts_answered"] > CALLS // 2, core.counters
-    assert not core.counters["errors"]
-    return spent
+                submit(s.MessageReceived(link, p.Release(message.call, p.ReleaseCause.NO_CIRCUIT, "turned_back")))
+    assert session.counters["attempts_answered"] > CALLS // 2, session.counters
+    assert not session.counters["errors"]
+    return spent_s
 
 
 def main() -> None:
-    revision = sys.argv[1] if len(sys.argv) > 1 else BEFORE
+    revision = sys.argv[1] if len(sys.argv) > 1 else DEFAULT_REVISION
     root = Path(__file__).parent.parent
     archive = subprocess.run(
         ["git", "archive", revision, "latchturn"], cwd=root, capture_output=True, check=True
--- a/latchturn/cli/check.py
+++ b/latchturn/cli/check.py
@@ -1,4 +1,4 @@
-"""`latchturn check`: explore the reducer, plant faults in it, walk at random, replay what was found."""
+"""`latchturn check`: explore the reducer, test the checker with planted faults, walk at random, replay trace files."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 from ..checking import explorer, pairs, plants, properties, scopes, traces, walks
 
-HOLDS, BROKEN, UNUSABLE, UNFINISHED = 0, 1, 2, 3
+HOLDS, BROKEN, UNUSABLE, UNFINISHED = 0, 1, 2, 3  # exit codes
 log = structlog.get_logger()
 
 
-def _known(_: click.Context, option: click.Parameter, value: str | None) -> str | None:
-    """One clear line for a name that does not exist."""
+def _existing_name(_: click.Context, option: click.Parameter, value: str | None) -> str | None:
+    """Reject the name of a fault or scope that does not exist, and list the existing names."""
     names = plants.PLANTED_FAULTS if option.name == "fault" else scopes.SCOPES
     if value and value not in names:
         raise click.BadParameter(f"{value!r} does not exist; expected one of {', '.join(names)}")
@@ -26,42 +26,44 @@
 
 
 JOBS = click.option("--jobs", default=os.cpu_count() or 1, show_default=True, type=click.IntRange(1, 64))
-SECONDS = click.option("--seconds", default=0.0, type=click.FloatRange(0), help="Time at most; 0: no end.")
+SECONDS = click.option("--seconds", default=0.0, type=click.FloatRange(0), help="Time limit; 0: none.")
 
 
 @click.group()
 def check() -> None:
-    """Check the rules over the program's own code."""
+    """Check the properties of the reducer on the program's own code."""
 
 
 @check.command()
-@click.option("--scope", "names", multiple=True, callback=lambda c, p, v: [_known(c, p, k) for k in v],
-              help="A scope; may be given more than once. Default: two.")  # fmt: skip
-@click.option("--exchanges", type=click.IntRange(1, 3), help="Only scopes of so many exchanges.")
-@click.option("--calls", type=click.IntRange(1, 2), help="Only scopes of so many calls.")
+@click.option("--scope", "names", multiple=True, callback=lambda c, p, v: [_existing_name(c, p, k) for k in v],
+              help="Scope to explore; may be repeated. Default: two.")  # fmt: skip
+@click.option(
+    "--exchanges", type=click.IntRange(1, 3), help="Without --scope: only scopes with this number of exchanges."
+)
+@click.option("--calls", type=click.IntRange(1, 2), help="Without --scope: only scopes with this number of calls.")
 @SECONDS
 @JOBS
-@click.option("--plant", "fault", callback=_known, help="Plant a fault of the catalogue first.")
-@click.option("--json", "file", type=click.Path(path_type=Path), help="Keep a counterexample in this file.")
-@click.option("--pairs", "show_pairs", is_flag=True, help="Show which state met which move, and how often.")
+@click.option("--plant", "fault", callback=_existing_name, help="Plant this fault first.")
+@click.option("--json", "file", type=click.Path(path_type=Path), help="Write a counterexample to this file.")
+@click.option("--pairs", "show_pairs", is_flag=True, help="Show how often each move was made in each state.")
 def attempt(
     names: list[str], exchanges: int | None, calls: int | None, seconds: float, jobs: int,
     fault: str | None, file: Path | None, show_pairs: bool,
 ) -> None:  # fmt: skip
-    """Explore scopes exhaustively."""
+    """Explore one or more scopes exhaustively."""
     if not names:
         names = ["two"]
         if exchanges or calls:
-            all_ = [scopes.SCOPES[name] for name in scopes.EXHAUSTIVE]
-            fit = [k for k in all_ if exchanges in (None, k.exchanges) and calls in (None, k.calls)]
-            names = [k.name for k in fit]
+            exhaustive = [scopes.SCOPES[name] for name in scopes.EXHAUSTIVE]
+            matching = [k for k in exhaustive if exchanges in (None, k.exchanges) and calls in (None, k.calls)]
+            names = [k.name for k in matching]
     if not names:
         raise click.UsageError(f"no scope has {exchanges} exchanges and {calls} calls; see check scopes")
-    met: pairs.Pairs = pairs.Pairs()
-    verdict = HOLDS
+    pair_totals: pairs.Pairs = pairs.Pairs()
+    exit_code = HOLDS
     for name in names:
         result = explorer.explore(name, jobs, seconds, fault or "", _progress if sys.stderr.isatty() else None)
-        met.update(result.pairs)
+        pair_totals.update(result.pairs)
         rate = result.transitions / max(result.seconds, 1e-9)
         outcome = "BROKEN" if result.violated else "holds, exhausted" if result.exhausted else "not exhausted"
         click.echo(
@@ -69,15 +71,16 @@
             f"{result.depth}, {result.ends} ends, {result.seconds:.1f} s, {rate:.0f} transitions/s"
         )
         if result.violated:
-            _show(traces.Trace(traces.VERSION, name, result.choices, result.violated, result.message, fault or ""),
-                  file)  # fmt: skip
+            _report_violation(
+                traces.Trace(traces.VERSION, name, result.choices, result.violated, result.message, fault or ""), file
+            )
             sys.exit(BROKEN)
-        verdict = verdict if result.exhausted else UNFINISHED
+        exit_code = exit_code if result.exhausted else UNFINISHED
     if show_pairs:
-        for (machine, state, move), count, never in pairs.pair_counts(met):
-            click.echo(f"{machine:<11}{state:<17}{move:<10}{count:>9}  {never and 'never: ' + never}")
-        click.echo(f"{len(pairs.unmet_pairs(met))} pairs that can be were not met")
-    sys.exit(verdict)
+        for (machine, state, move), count, reason in pairs.pair_counts(pair_totals):
+            click.echo(f"{machine:<11}{state:<17}{move:<10}{count:>9}  {reason and 'never: ' + reason}")
+        click.echo(f"{len(pairs.unmet_pairs(pair_totals))} possible pairs were not met")
+    sys.exit(exit_code)
 
 
 def _progress(result: explorer.Result) -> None:
@@ -85,7 +88,7 @@
              seconds=round(result.seconds, 1))  # fmt: skip
 
 
-def _show(trace: traces.Trace, file: Path | None) -> None:
+def _report_violation(trace: traces.Trace, file: Path | None) -> None:
     if trace.fault:
         click.echo(f"{trace.broken}: {trace.message} (planted: {trace.fault})")
         click.echo("choices: " + "; ".join(" ".join(map(str, c)) for c in trace.choices))
@@ -93,14 +96,14 @@
         click.echo("\n".join(traces.narrate(trace.scope, trace.choices)))
     if file is not None:
         traces.write(file, trace)
-        click.echo(f"kept in {file}; latchturn check replay {file}")
+        click.echo(f"written to {file}; replay it with: latchturn check replay {file}")
 
 
 @check.command(name="plants")
-@click.option("--seconds", default=60.0, show_default=True, type=click.FloatRange(1), help="Time at most for each.")
+@click.option("--seconds", default=60.0, show_default=True, type=click.FloatRange(1), help="Time limit for each fault.")
 @JOBS
 def all_plants(seconds: float, jobs: int) -> None:
-    """Plant every fault of the catalogue, one at a time, and look for it."""
+    """Plant every fault, one at a time, and explore its scope to find it."""
     click.echo(f"{'fault':<29}{'scope':<12}{'property':<14}{'depth':>5}{'states':>8}{'time':>8}")
     missed = 0
     caught = set()
@@ -116,30 +119,39 @@
                 f"{name:<29}{result.scope:<12}{result.violated or 'NOT CAUGHT':<14}{len(result.choices):>5}"
                 f"{result.states:>8}{result.seconds:>7.1f}s"
             )
-    idle = [property_.name for property_ in properties.PROPERTIES if property_.name not in caught]
+    unused = [property_.name for property_ in properties.PROPERTIES if property_.name not in caught]
     click.echo(
-        f"{len(plants.PLANTED_FAULTS)} faults, {missed} not caught; properties that caught none: {idle or 'none'}"
+        f"{len(plants.PLANTED_FAULTS)} faults, {missed} not caught; properties that caught none: {unused or 'none'}"
     )
-    sys.exit(BROKEN if missed or idle else HOLDS)
+    sys.exit(BROKEN if missed or unused else HOLDS)
 
 
 @check.command()
 @click.option("--seed", default=1, show_default=True)
 @click.option("--steps", default=2000, show_default=True, type=click.IntRange(1))
-@click.option("--walks", "count", default=1, show_default=True, type=click.IntRange(1), help="Seeds in a row.")
+@click.option(
+    "--walks",
+    "count",
+    default=1,
+    show_default=True,
+    type=click.IntRange(1),
+    help="Number of walks; their seeds are consecutive.",
+)
 @JOBS
-@click.option("--json", "file", type=click.Path(path_type=Path), help="Keep a counterexample in this file.")
+@click.option("--json", "file", type=click.Path(path_type=Path), help="Write a counterexample to this file.")
 def walk(seed: int, steps: int, count: int, jobs: int, file: Path | None) -> None:
-    """Walk at random through a large world."""
+    """Walk at random through the scope `wide`."""
     import multiprocessing
 
     work = [(s, steps) for s in range(seed, seed + count)]
     with multiprocessing.get_context("fork").Pool(min(jobs, count)) as pool:
-        for seen in pool.starmap(walks.walk, work):
-            click.echo(f"seed {seen.seed}: {seen.steps} steps, {seen.calls} calls, {seen.seconds:.1f} s")
-            if seen.violated:
-                short = walks.shorten(seen.choices, seen.violated)
-                _show(traces.Trace(traces.VERSION, "wide", short, seen.violated, seen.message), file)
+        for result in pool.starmap(walks.walk, work):
+            click.echo(f"seed {result.seed}: {result.steps} steps, {result.calls} calls, {result.seconds:.1f} s")
+            if result.violated:
+                shortened = walks.shorten(result.choices, result.violated)
+                _report_violation(
+                    traces.Trace(traces.VERSION, "wide", shortened, result.violated, result.message), file
+                )
                 sys.exit(BROKEN)
 
 
@@ -147,7 +159,7 @@
 @click.option("--walks", "count", default=20, show_default=True, type=click.IntRange(1))
 @click.option("--steps", default=400, show_default=True, type=click.IntRange(1))
 def lines(count: int, steps: int) -> None:
-    """Tell which lines of the reducer no path reaches, over the small scopes and some walks."""
+    """List the lines of the reducer that random walks in every scope do not reach."""
 
     from ..checking.reached import unreached_lines
 
@@ -157,25 +169,25 @@
 
 @check.command(name="properties")
 def all_properties() -> None:
-    """The laws, a sentence each."""
+    """List the properties, each with its statement."""
     for property_ in properties.PROPERTIES:
         click.echo(f"{property_.name:<14}{property_.statement}")
 
 
 @check.command(name="scopes")
 def all_scopes() -> None:
-    """The scopes, and what each leaves out."""
+    """List the scopes, what each leaves out, and its budgets."""
     for scope in scopes.SCOPES.values():
         click.echo(f"{scope.name:<12}{scope.about}")
         click.echo(f"{'':<12}leaves out: {scope.leaves_out}")
-        click.echo(f"{'':<12}{json.dumps(scope.budgets)}, {scope.rare_choices} rare a path")
+        click.echo(f"{'':<12}{json.dumps(scope.budgets)}, {scope.rare_choices} rare choices per path")
 
 
 @check.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--as-test", is_flag=True, help="Print a ready test instead.")
+@click.option("--as-test", is_flag=True, help="Print a test that replays it instead.")
 def replay(file: Path, as_test: bool) -> None:
-    """Replay a counterexample from its file."""
+    """Replay a counterexample from a trace file."""
     try:
         trace = traces.read(file)
         if as_test:
