--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""One process replaces another: what the old one does, what the new one does, and what may lie in $TMPDIR."""
+"""Replacement of one process by another: the replaced process, its successor, and leftovers in $TMPDIR."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 PING = o.Command.PING
 
 
-class Old(unittest.TestCase):
+class ReplacedProcess(unittest.TestCase):
     """The process that is replaced."""
 
     def setUp(self) -> None:
@@ -32,23 +32,23 @@
             self.desk.do(s.Accepted(stream))
         self.desk.pass_time(SECOND)
 
-    def test_it_takes_no_callers_and_closes_connections_as_they_become_idle(self) -> None:
+    def test_it_accepts_no_callers_and_closes_connections_as_they_become_idle(self) -> None:
         desk = self.desk
         desk.hear(2, set_up(5))
         desk.do(s.SuccessorChanged(True))
         self.assertEqual((desk.taking, desk.ask(PING)), ([True, False], "ERR ending\n"))
-        # The front's tests mean the address, and a successor serves there.
+        # The load balancer's health check is about the address, which the successor serves.
         self.assertEqual(desk.hear(3, p.HealthCheck(9)), [(3, p.HealthCheckResult(9, True))])
         desk.pass_time(limits.DRAIN_INTERVAL_US)
         self.assertEqual(sorted(desk.closed), [1, 3])
         desk.hear(desk.link[1], p.Answer(5, b"yes"))
         desk.pass_time(2 * SECOND)
-        desk.hear(2, set_up(7, to=2))  # still served
+        desk.hear(2, set_up(7, to=2))  # set-ups on open connections are still served
         desk.hear(desk.link[2], p.Answer(7, b"yes"))
         self.assertEqual(desk.figure("outstanding"), 2)
         self.assertEqual(sorted(desk.closed), [1, 3])
 
-    def test_it_ends_once_all_connections_are_closed_though_calls_stand(self) -> None:
+    def test_it_exits_once_all_connections_are_closed_despite_standing_calls(self) -> None:
         desk = self.desk
         desk.hear(2, set_up(5))
         desk.hear(desk.link[1], p.Answer(5, b"yes"))
@@ -74,7 +74,7 @@
         refusal = p.Release(7, p.ReleaseCause.CONGESTION, retry_after_ms=limits.DRAIN_RETRY_AFTER_MS)
         self.assertIn((2, refusal), desk.hear(2, set_up(7)))
 
-    def test_it_serves_again_where_the_successor_goes_before_sigterm(self) -> None:
+    def test_it_serves_again_if_the_successor_exits_before_sigterm(self) -> None:
         desk = self.desk
         desk.do(s.SuccessorChanged(True))
         desk.do(s.SuccessorChanged(False))
@@ -87,26 +87,26 @@
         self.assertEqual(desk.taking, [True, False, True, False])
 
 
-class New(unittest.TestCase):
-    def test_it_takes_callers_only_once_it_is_ready(self) -> None:
+class Successor(unittest.TestCase):
+    def test_it_accepts_callers_only_once_it_is_ready(self) -> None:
         ready = Desk()
         new = s.Session(ready.session.classes.settings, 7, 1024)
-        told = [effect for effect in new.step(ready.now, s.Started((), 1, ("127.0.0.1", 9), True))]
+        effects_before_ready = [effect for effect in new.step(ready.now, s.Started((), 1, ("127.0.0.1", 9), True))]
         new.exchanges.by_id = ready.session.exchanges.by_id
         new.exchanges.by_id[102].sends_group_states = False
-        told += new.step(ready.now, s.ListenerReady())
-        self.assertNotIn(s.AcceptCallers(True), told)
+        effects_before_ready += new.step(ready.now, s.ListenerReady())
+        self.assertNotIn(s.AcceptCallers(True), effects_before_ready)
         self.assertIs(new.phase, s.Phase.STARTING)
         new.exchanges.by_id[102].sends_group_states = True
         self.assertIn(s.AcceptCallers(True), new.step(ready.now, s.Tick()))
         self.assertNotIn(s.AcceptCallers(True), new.step(ready.now, s.Tick()))
 
-    def test_one_that_is_told_to_end_before_it_is_ready_takes_none(self) -> None:
+    def test_a_successor_that_is_terminated_before_it_is_ready_accepts_no_callers(self) -> None:
         new = s.Session(Desk().session.classes.settings, 7, 1024)
-        for happened in (s.Started((), 1, ("127.0.0.1", 9), True), s.Terminate(), s.ListenerReady()):
-            self.assertNotIn(s.AcceptCallers(True), new.step(SECOND, happened))
+        for input_ in (s.Started((), 1, ("127.0.0.1", 9), True), s.Terminate(), s.ListenerReady()):
+            self.assertNotIn(s.AcceptCallers(True), new.step(SECOND, input_))
 
-    def test_what_the_other_process_holds_comes_off_the_budget(self) -> None:
+    def test_descriptors_of_the_other_process_reduce_the_budget(self) -> None:
         desk = Desk(far=2, sockets=200)
         for stream in (2, 3):
             desk.do(s.Accepted(stream))
@@ -119,10 +119,10 @@
         self.assertEqual(desk.closed, [1, 2])
 
 
-class Calls(unittest.TestCase):
-    """What stands in the old process when it ends is the new one's."""
+class InheritedCalls(unittest.TestCase):
+    """Calls that stand in the replaced process when it exits pass to its successor."""
 
-    def test_the_old_one_bequeaths_what_stands(self) -> None:
+    def test_the_replaced_process_hands_over_its_standing_calls(self) -> None:
         desk = Desk()
         desk.stand(5)
         desk.do(s.SuccessorChanged(True))
@@ -131,76 +131,76 @@
         self.assertTrue(desk.ended)
         self.assertEqual(desk.bequeathed, ((5, 101),))
 
-    def test_the_new_one_counts_them_and_passes_their_ends_on(self) -> None:
+    def test_the_successor_counts_inherited_calls_and_forwards_their_ends(self) -> None:
         for by_exchange in (True, False):
             desk = Desk()
             desk.stand(6, to=2)
             desk.do(s.OtherProcessUsage(30, calls=4))
             self.assertEqual(desk.figure("outstanding"), 5)
             desk.do(s.CallInherited(5, 101))
-            desk.do(s.CallInherited(7, 999))  # an exchange that has gone
+            desk.do(s.CallInherited(7, 999))  # an exchange that is no longer listed
             desk.do(s.OtherProcessUsage(0))
             self.assertEqual(desk.figure("outstanding"), 2)
-            over = p.Release(5, p.ReleaseCause.NORMAL)
+            release = p.Release(5, p.ReleaseCause.NORMAL)
             if by_exchange:
-                self.assertIn((1, over), desk.hear(desk.link[1], over))
+                self.assertIn((1, release), desk.hear(desk.link[1], release))
             else:
-                written = desk.hear(1, over)
+                written = desk.hear(1, release)
                 self.assertIn((1, p.ReleaseConfirmed(5)), written)
-                self.assertIn((desk.link[1], over), written)
+                self.assertIn((desk.link[1], release), written)
             self.assertEqual(desk.figure("outstanding"), 1)
             self.assertNotIn("errors", desk.session.figures())
 
-    def test_a_callers_release_of_the_others_call_is_passed_on(self) -> None:
+    def test_a_release_for_a_call_of_the_other_process_is_forwarded(self) -> None:
         desk = Desk()
-        over = p.Release(5, p.ReleaseCause.NORMAL)
+        release = p.Release(5, p.ReleaseCause.NORMAL)
         desk.do(s.OtherProcessUsage(30, calls=1))
-        effects = desk.session.step(desk.now, s.MessageReceived(1, over))
-        self.assertIn(s.ForwardRelease(5, over.cause), effects)
+        effects = desk.session.step(desk.now, s.MessageReceived(1, release))
+        self.assertIn(s.ForwardRelease(5, release.cause), effects)
         desk.stand(8)
-        written = desk.do(s.ReleaseForwarded(8, over.cause))
-        self.assertIn((desk.link[1], p.Release(8, over.cause)), written)
-        self.assertEqual(desk.do(s.ReleaseForwarded(9, over.cause)), [])
+        written = desk.do(s.ReleaseForwarded(8, release.cause))
+        self.assertIn((desk.link[1], p.Release(8, release.cause)), written)
+        self.assertEqual(desk.do(s.ReleaseForwarded(9, release.cause)), [])
 
 
-class Words(unittest.TestCase):
-    """What one process tells the other over their socket."""
+class HandoverMessages(unittest.TestCase):
+    """Messages on the handover socket."""
 
-    def test_all_calls_that_stand_arrive_however_many_there_are(self) -> None:
-        # With one write a call, 278 of 2000 arrived at a process that did not read meanwhile.
+    def test_all_standing_calls_arrive_up_to_the_maximum(self) -> None:
+        # With a separate write for each call, 278 of 2000 arrived at a process that did not read in the meantime.
         calls = [((1 << 64) - 1 - k, 101) for k in range(limits.MAX_CALLS)]
 
-        async def bequeath(old: socket.socket) -> None:
-            h.send_messages(trio.socket.from_stdlib_socket(old), h.STANDING_CALL, calls)
+        async def send_calls(sender: socket.socket) -> None:
+            h.send_messages(trio.socket.from_stdlib_socket(sender), h.STANDING_CALL, calls)
 
-        async def inherit(new: socket.socket) -> list[tuple[int, ...]]:
-            words = h.receive(trio.socket.from_stdlib_socket(new))
-            return [tuple(numbers) async for word, numbers in words if word == h.STANDING_CALL]
+        async def receive_calls(receiver: socket.socket) -> list[tuple[int, ...]]:
+            messages = h.receive(trio.socket.from_stdlib_socket(receiver))
+            return [tuple(numbers) async for message_name, numbers in messages if message_name == h.STANDING_CALL]
 
-        old, new = socket.socketpair()
-        for sock in (old, new):
+        sender, receiver = socket.socketpair()
+        for sock in (sender, receiver):
             sock.setblocking(False)
             self.addCleanup(sock.close)
-        trio.run(bequeath, old)
-        old.close()
-        self.assertEqual(trio.run(inherit, new), calls)
+        trio.run(send_calls, sender)
+        sender.close()
+        self.assertEqual(trio.run(receive_calls, receiver), calls)
 
-    def test_a_process_that_reads_nothing_is_not_waited_for_long(self) -> None:
-        async def say_too_much(old: socket.socket) -> None:
-            h.send_messages(trio.socket.from_stdlib_socket(old), h.STANDING_CALL, [(k, 101) for k in range(200_000)])
+    def test_sending_to_a_process_that_does_not_read_ends_soon(self) -> None:
+        async def send_many(sender: socket.socket) -> None:
+            h.send_messages(trio.socket.from_stdlib_socket(sender), h.STANDING_CALL, [(k, 101) for k in range(200_000)])
 
-        old, new = socket.socketpair()
-        for sock in (old, new):
+        sender, receiver = socket.socketpair()
+        for sock in (sender, receiver):
             sock.setblocking(False)
             self.addCleanup(sock.close)
-        trio.run(say_too_much, old)  # it returns
-        self.assertGreater(len(new.recv(1 << 20)), 0)
+        trio.run(send_many, sender)  # returns although nobody reads
+        self.assertGreater(len(receiver.recv(1 << 20)), 0)
 
 
-class Folder(unittest.TestCase):
-    """Whatever lies in $TMPDIR, a process starts at once, and is found there afterwards."""
+class HandoverFolder(unittest.TestCase):
+    """Whatever lies at the path of the socket, a process starts at once, and successors find it there afterwards."""
 
-    def lay(self, kind: str, path: Path) -> socket.socket | None:
+    def create(self, kind: str, path: Path) -> socket.socket | None:
         if kind == "file":
             path.write_text("{")
         elif kind == "folder":
@@ -213,30 +213,30 @@
             return sock
         return None
 
-    def test_stale_foreign_and_silent_files(self) -> None:
+    def test_stale_unrelated_and_unresponsive_files(self) -> None:
         async def start(path: Path) -> bool:
-            began = time.monotonic()
+            started = time.monotonic()
             self.assertIsNone(await h.receive_listener(path, ("127.0.0.1", 1)))
-            self.assertLess(time.monotonic() - began, 5)
+            self.assertLess(time.monotonic() - started, 5)
             async with h.listen_for_successors(path) as sock:
                 return sock is not None
 
         for kind in ("nothing", "file", "folder", "dead", "silent"):
             with tempfile.TemporaryDirectory() as folder:
                 path = h.socket_path(folder, ("127.0.0.1", 1))
-                laid = self.lay(kind, path)
+                created = self.create(kind, path)
                 self.assertEqual(trio.run(start, path), kind != "folder", kind)
                 self.assertEqual(os.listdir(folder), [path.name] if kind == "folder" else [], kind)
-                if laid is not None:
-                    laid.close()
+                if created is not None:
+                    created.close()
 
-    def test_a_listener_at_another_address_or_no_listener_is_left(self) -> None:
-        async def pass_on(given: socket.socket, path: Path) -> bool:
+    def test_a_listener_at_another_address_or_a_socket_that_does_not_listen_is_rejected(self) -> None:
+        async def hand_over(offered: socket.socket, path: Path) -> bool:
             async with trio.open_nursery() as nursery, h.listen_for_successors(path) as successors:
 
                 async def serve() -> None:
                     sock, _ = await successors.accept()
-                    await h.send_listener(sock, trio.socket.from_stdlib_socket(given.dup()))
+                    await h.send_listener(sock, trio.socket.from_stdlib_socket(offered.dup()))
 
                 nursery.start_soon(serve)
                 inherited = await h.receive_listener(path, address)
@@ -250,25 +250,25 @@
         ):
             address = right.getsockname()
             path = h.socket_path(folder, address)
-            for given, good in ((right, True), (other, False), (unbound, False)):
-                self.assertEqual(trio.run(pass_on, given, path), good)
+            for offered, accepted in ((right, True), (other, False), (unbound, False)):
+                self.assertEqual(trio.run(hand_over, offered, path), accepted)
 
-    def test_without_a_folder_nothing_is_looked_for(self) -> None:
+    def test_without_a_folder_there_is_no_handover(self) -> None:
         self.assertIsNone(h.socket_path(None, ("127.0.0.1", 1)))
         self.assertIsNone(trio.run(h.receive_listener, None, ("127.0.0.1", 1)))
 
 
-def found(program: Program) -> Path:
-    """The path at which a successor finds the program, once it does."""
+def wait_for_handover_socket(program: Program) -> Path:
+    """Wait until the program has created its handover socket; return the socket's path."""
     path = h.socket_path(program.folder.name, ("127.0.0.1", program.port))
-    until = time.monotonic() + 10
-    while not path.exists() and time.monotonic() < until:
+    deadline = time.monotonic() + 10
+    while not path.exists() and time.monotonic() < deadline:
         pass
     return path
 
 
-class Sockets(unittest.TestCase):
-    def test_a_process_is_replaced_under_load(self) -> None:
+class OnSockets(unittest.TestCase):
+    def test_a_process_is_replaced_while_it_serves_calls(self) -> None:
         with Program() as program:
             caller = program.caller()
             caller.send(set_up(1))
@@ -277,10 +277,10 @@
             idle = program.caller()
             idle.send(p.HealthCheck(5))
             idle.next()
-            found(program)
-            old = program.replace()
+            wait_for_handover_socket(program)
+            old_process = program.replace()
             self.assertIsNone(idle.next())
-            old.send_signal(signal.SIGTERM)
+            old_process.send_signal(signal.SIGTERM)
             newer = program.caller()
             newer.send(set_up(2))
             self.assertEqual(program.links[1].next().call, 2)
@@ -289,16 +289,16 @@
             link.send(p.Answer(1, b"from before"))
             self.assertEqual(caller.next(), p.Answer(1, b"from before"))
             self.assertIsNone(caller.next())
-            self.assertEqual(old.wait(10), 0)
+            self.assertEqual(old_process.wait(10), 0)
             while "edge_gw.outstanding:2|g" not in program.ask_admin("INFO"):
                 pass
-            # What stood in the old process ends on a link of the new one.
+            # The call that stood in the old process ends on a link of the new one.
             program.links[1].send(p.Release(1, p.ReleaseCause.NORMAL))
             self.assertEqual(newer.next(), p.Release(1, p.ReleaseCause.NORMAL))
 
-    def test_after_a_killed_process_another_starts_in_its_folder(self) -> None:
+    def test_a_process_starts_in_the_folder_of_a_killed_one(self) -> None:
         with Program() as program:
-            path = found(program)
+            path = wait_for_handover_socket(program)
             program.process.kill()
             program.process.wait()
             self.assertTrue(path.is_socket())
@@ -307,12 +307,12 @@
             caller.send(p.HealthCheck(1))
             self.assertEqual(caller.next(), p.HealthCheckResult(1, True))
 
-    def test_a_process_that_is_not_found_is_served_beside(self) -> None:
+    def test_a_process_starts_beside_one_that_it_does_not_find(self) -> None:
         with Program() as program:
-            found(program).unlink()
-            old = program.replace()
-            old.send_signal(signal.SIGTERM)
-            self.assertEqual(old.wait(10), 0)
+            wait_for_handover_socket(program).unlink()
+            old_process = program.replace()
+            old_process.send_signal(signal.SIGTERM)
+            self.assertEqual(old_process.wait(10), 0)
             caller = program.caller()
             caller.send(p.HealthCheck(1))
             self.assertEqual(caller.next(), p.HealthCheckResult(1, True))
