--- a/latchturn/brain.py
+++ b/latchturn/brain.py
@@ -79,6 +79,7 @@
         self.size_known = False
         self.size = 0
         self.free_circuits = 0  # last report, less what was seized since
+        # By traffic class, in circuits.
         self.in_use = [0, 0]
         self.minimum = [0, 0]
         self.limit = [NO_LIMIT, 0]
--- a/latchturn/interface.py
+++ b/latchturn/interface.py
@@ -43,9 +43,9 @@
     TURNED_AWAY = 2  # the exchange refused it, see the cause
     TIMED_OUT = 3
     UNREACHABLE = 4
-    CUT = 5  # the link was lost
+    CUT = 5  # ended by a fault, for example the loss of its link
     CANCELLED = 6  # given up by the session controller
-    NOT_SENT = 7  # never left the session controller, see the cause
+    NOT_SENT = 7  # not sent out, see the cause
 
 
 class Cause(IntEnum):
@@ -108,7 +108,7 @@
     throttle_share: float | None = None  # share of new set-ups that it asks each sender to withhold
     wait_us: int | None = None  # not used by the decision module, nor are the next two
     busy_share: float | None = None  # of its processor
-    queue_length: float | None = None  # of its processor
+    queue_length: float | None = None  # set-ups in its queue
 
 
 @dataclass(slots=True)
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -1,4 +1,4 @@
-"""The limit-and-minimum ledger against a brute-force model."""
+"""The counts, limits and minimums of a trunk group against a brute-force model."""
 
 from __future__ import annotations
 
@@ -10,44 +10,44 @@
 STEPS = st.lists(st.tuples(st.sampled_from("srz"), st.booleans(), st.integers(0, 60)), max_size=60)
 
 
-def f_by_formula(group: TrunkGroup) -> int:
-    """The paper's F for standing calls: size less the larger of minimum and standing of each class."""
+def unreserved_by_formula(group: TrunkGroup) -> int:
+    """F of the paper: the size less, for each class, the larger of its minimum and its circuits in use."""
     return group.size - sum(max(low, n) for low, n in zip(group.minimum, group.in_use))
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(STEPS)
-def test_ledger_agrees_with_the_formula_at_every_step(steps: list[tuple[str, bool, int]]) -> None:
+def test_counts_agree_with_the_formula_at_every_step(steps: list[tuple[str, bool, int]]) -> None:
     group = TrunkGroup()
     group.resize(50)
     standing: list[tuple[int, int]] = []
     for what, two_leg, number in steps:
         if what == "s":
-            cls, width = (TWO_LEG if two_leg else DIRECT), 1 + number % 4
+            traffic_class, width = (TWO_LEG if two_leg else DIRECT), 1 + number % 4
             group.free_circuits = number
-            n = group.in_use[cls]
-            f = f_by_formula(group)
-            bounds = n < group.minimum[cls] or width <= f or (f < 0 and not two_leg)
+            n = group.in_use[traffic_class]
+            unreserved = unreserved_by_formula(group)
+            bounds = n < group.minimum[traffic_class] or width <= unreserved or (unreserved < 0 and not two_leg)
             unfilled = max(0, group.minimum[DIRECT] - group.in_use[DIRECT]) if two_leg else 0
             within_limit = n + width <= group.limit[TWO_LEG] if two_leg else True
             expected = within_limit and bounds and number >= width + unfilled
-            assert group.admits(cls, width) == expected
+            assert group.admits(traffic_class, width) == expected
             if expected:
-                group.seize(cls, width)
-                standing.append((cls, width))
+                group.seize(traffic_class, width)
+                standing.append((traffic_class, width))
         elif what == "r" and standing:
             group.release(*standing.pop(number % len(standing)))
         elif what == "z":
             group.resize(number)
-        assert group.unreserved == f_by_formula(group)
-        for cls in (DIRECT, TWO_LEG):
-            assert group.in_use[cls] == sum(w for c, w in standing if c == cls)
+        assert group.unreserved == unreserved_by_formula(group)
+        for traffic_class in (DIRECT, TWO_LEG):
+            assert group.in_use[traffic_class] == sum(w for c, w in standing if c == traffic_class)
     while standing:
         group.release(*standing.pop())
     assert group.in_use == [0, 0] and group.unreserved == group.size - group.minimum[DIRECT]
 
 
-def test_floors_of_the_bounds() -> None:
+def test_limit_and_minimum_for_all_sizes() -> None:
     for size in range(2, 200):
         group = TrunkGroup()
         group.resize(size)
@@ -56,7 +56,7 @@
         assert group.minimum[TWO_LEG] == 0
 
 
-def test_told_circuits_must_cover_the_unfilled_minimum_of_direct_calls() -> None:
+def test_free_circuits_must_cover_the_unfilled_minimum_of_direct_calls() -> None:
     group = TrunkGroup()
     group.resize(40)
     group.free_circuits = group.minimum[DIRECT]
@@ -66,7 +66,7 @@
     assert group.admits(TWO_LEG, 1) and not group.admits(TWO_LEG, 2)
 
 
-def test_shrunken_group_does_not_shut_direct_calls_out() -> None:
+def test_shrunken_group_still_admits_direct_calls() -> None:
     group = TrunkGroup()
     group.resize(40)
     group.free_circuits = 40
@@ -79,5 +79,5 @@
     assert not group.admits(DIRECT, 1)
 
 
-def test_before_the_first_word_of_circuits_direct_calls_try_and_two_leg_calls_do_not() -> None:
+def test_before_the_first_report_direct_calls_are_admitted_and_two_leg_calls_are_not() -> None:
     assert TrunkGroup().admits(DIRECT, 1) and not TrunkGroup().admits(TWO_LEG, 1)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -1,4 +1,4 @@
-"""Each guard: how it sets in, and how service comes back."""
+"""Each guard of the decision module: when it starts to act, and how normal service returns."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 from .helpers import SECOND, SETTINGS, ControllerHarness, final_answers, list_entry, sent_to, settings_with
 
 
-def silence(harness: ControllerHarness, number: int) -> None:
+def time_out(harness: ControllerHarness, number: int) -> None:
+    """Offer a call to an exchange and, if it is sent there, let its attempt time out."""
     call, actions = harness.offer(number)
     if sent_to(actions):
         harness.now += SECOND
@@ -18,18 +19,18 @@
         harness.pass_time(2 * SECOND)
 
 
-def test_silent_exchange_is_tried_sparingly_and_recovers_with_its_first_answer() -> None:
+def test_unresponsive_exchange_is_backed_off_and_recovers_with_its_first_answer() -> None:
     harness = ControllerHarness()
     for _ in range(2):
-        silence(harness, 1)
-    tries = 0
+        time_out(harness, 1)
+    set_ups = 0
     for _ in range(40):
         _, actions = harness.offer(1)
         for action in actions + harness.pass_time(100_000):
             if isinstance(action, i.SendSetup):
-                tries += action.exchange == 101
+                set_ups += action.exchange == 101
                 harness.end_attempt(action.call, 1, i.Outcome.TIMED_OUT, concluded=True)
-    assert 1 <= tries <= 6
+    assert 1 <= set_ups <= 6
     harness.pass_time(9 * SECOND)
     call, actions = harness.offer(1)
     assert sent_to(actions) == [1]
@@ -37,7 +38,7 @@
     assert [sent_to(harness.offer(1)[1]) for _ in range(2)] == [[1], [1]]
 
 
-def test_unreachable_exchange_counts_as_silent() -> None:
+def test_unreachable_exchange_counts_as_unresponsive() -> None:
     harness = ControllerHarness()
     for _ in range(2):
         call, _ = harness.offer(1)
@@ -47,7 +48,7 @@
     assert harness.controller.by_number[1].congested()
 
 
-def test_busy_number_is_spaced_out_and_freed_by_a_call_that_stands() -> None:
+def test_set_ups_to_a_busy_number_are_spaced_out_until_a_call_is_answered() -> None:
     harness = ControllerHarness()
     call, _ = harness.offer(1, called_number=77)
     harness.end_attempt(call, 1, i.Outcome.NO_LINE, i.Cause.NUMBER_BUSY)
@@ -61,7 +62,7 @@
     assert sent_to(harness.offer(1, called_number=77)[1]) == [1]
 
 
-def test_no_two_leg_call_over_or_towards_a_pressed_processor() -> None:
+def test_no_two_leg_call_over_or_to_a_congested_exchange() -> None:
     harness = ControllerHarness()
     harness.report(1, 0)
     harness.report(2, 40, throttle_share=0.5)
@@ -74,23 +75,23 @@
     assert sent_to(harness.offer(1)[1]) in ([2], [3])
 
 
-def test_slow_answers_shrink_the_window_and_prompt_ones_widen_it() -> None:
+def test_slow_answers_narrow_the_window_and_prompt_ones_widen_it() -> None:
     harness = ControllerHarness()
-    far = harness.controller.by_number[1]
-    begin = far.window
+    remote = harness.controller.by_number[1]
+    begin = remote.window
     for _ in range(6):
         call, _ = harness.offer(1)
         harness.now += SECOND
         harness.answer(call, 1)
-    assert far.window < begin and far.congested()
+    assert remote.window < begin and remote.congested()
     for _ in range(4):
         call, _ = harness.offer(1)
         harness.now += 50_000
         harness.answer(call, 1)
-    assert far.window >= begin and not far.congested() and far.outstanding == 0
+    assert remote.window >= begin and not remote.congested() and remote.outstanding == 0
 
 
-def test_tandem_that_turned_back_is_left_alone_for_that_destination() -> None:
+def test_tandem_that_refused_is_backed_off_for_that_destination() -> None:
     harness = ControllerHarness()
     harness.report(1, 0)
     harness.report(2, 40)
@@ -102,7 +103,7 @@
     assert sent_to(harness.offer(1)[1]) == [3]
 
 
-def test_redial_past_its_aim_goes_only_into_idle_circuits() -> None:
+def test_redial_past_its_target_leaves_the_reserve_of_circuits_free() -> None:
     harness = ControllerHarness()
     for k in (1, 2, 3):
         harness.report(k, 0)
@@ -117,7 +118,7 @@
     assert sent_to(harness.offer(1, called_number=5)[1]) == [1]
 
 
-def test_waiting_calls_go_by_worth_for_their_circuits() -> None:
+def test_queued_calls_are_served_by_value_per_circuit() -> None:
     harness = ControllerHarness()
     for k in (1, 2, 3):
         harness.report(k, 0)
@@ -128,7 +129,7 @@
     assert [a.call for a in actions][0] == urgent
 
 
-def test_ledger_and_windows_are_clean_after_every_kind_of_end() -> None:
+def test_circuit_counts_and_windows_are_clear_after_every_outcome() -> None:
     harness = ControllerHarness()
     for outcome in i.Outcome:
         call, actions = harness.offer(1)
@@ -140,7 +141,7 @@
     assert harness.controller.by_number[1].outstanding == 0 and harness.controller.calls == {}
 
 
-def test_odd_events_are_harmless() -> None:
+def test_events_for_unknown_calls_and_exchanges_are_harmless() -> None:
     harness = ControllerHarness()
     harness.attempts[99] = 0
     assert harness.end_attempt(99, 1, i.Outcome.RELEASED) == []
@@ -161,7 +162,7 @@
     ("field", "value"),
     [("controllers", 0), ("release_us", -1), ("cold_start_share", 0.0), ("classes", ()), ("collapse_us", 0)],
 )
-def test_wrong_settings_name_the_field_and_the_value(field: str, value: object) -> None:
+def test_invalid_settings_are_rejected_with_the_name_of_the_field(field: str, value: object) -> None:
     with pytest.raises(ValueError, match=field):
         Controller(settings_with(**{field: value}), 1)
 
@@ -176,20 +177,20 @@
     assert SETTINGS.own_number == 0
 
 
-def test_windows_keep_a_burst_out_of_a_far_processors_line() -> None:
+def test_window_limits_a_burst_of_set_ups_to_one_exchange() -> None:
     harness = ControllerHarness(remote_exchanges=1)
     sent = sum(len(sent_to(harness.offer(1)[1])) for _ in range(30))
     assert sent <= 2
-    far = harness.controller.by_number[1]
+    remote = harness.controller.by_number[1]
     for _ in range(30):
         for call in [c.offer.call for c in harness.controller.calls.values() if c.awaiting_answer]:
             harness.now += 1_000
             harness.answer(call, 1)
         harness.offer(1)
-        assert far.outstanding <= 4
+        assert remote.outstanding <= 4
 
 
-def test_turn_back_pause_grows_and_ends_with_a_call_that_stands() -> None:
+def test_tandem_back_off_grows_and_ends_with_an_answered_call() -> None:
     harness = ControllerHarness(remote_exchanges=2)
     harness.report(1, 0)
     pauses = []
@@ -209,7 +210,7 @@
     assert harness.controller.by_number[2].tandem_back_offs == {}
 
 
-def test_narrow_calls_yield_to_a_wider_call_that_waits_and_is_worth_as_much() -> None:
+def test_narrow_calls_yield_to_a_queued_wider_call_of_no_less_value_per_circuit() -> None:
     harness = ControllerHarness(remote_exchanges=1)
     harness.report(1, 0)
     wide, _ = harness.offer(1, cls=1)
@@ -225,7 +226,7 @@
     assert [a.call for a in actions] == [plain]
 
 
-def test_two_leg_time_out_leaves_time_within_the_aim() -> None:
+def test_two_leg_time_out_leaves_time_within_the_target() -> None:
     harness = ControllerHarness(remote_exchanges=2)
     harness.report(1, 0)
     _, actions = harness.offer(1)
@@ -233,7 +234,7 @@
     assert send.exchange == 102 and 0 < send.timeout_us < SETTINGS.classes[0].target_us
 
 
-def test_a_caller_that_left_is_never_answered() -> None:
+def test_caller_that_left_gets_no_final_answer() -> None:
     harness = ControllerHarness()
     call, _ = harness.offer(1)
     harness.submit(i.CallerLeft(call))
@@ -241,7 +242,7 @@
     assert harness.controller.calls == {} and harness.controller.groups[1].in_use == [0, 0]
 
 
-def test_a_signalling_fault_is_tried_again_but_not_a_busy_number() -> None:
+def test_call_is_retried_after_a_signalling_fault_but_not_to_a_busy_number() -> None:
     harness = ControllerHarness()
     call, _ = harness.offer(1)
     assert sent_to(harness.end_attempt(call, 1, i.Outcome.NO_LINE)) == [1]
@@ -249,10 +250,10 @@
     assert final_answers(harness.end_attempt(busy, 1, i.Outcome.NO_LINE, i.Cause.NUMBER_BUSY)) == [busy]
 
 
-def test_log_lines_tell_only_changes_of_state() -> None:
+def test_only_changes_of_state_are_logged() -> None:
     harness = ControllerHarness()
     for _ in range(5):
-        silence(harness, 1)
+        time_out(harness, 1)
         harness.pass_time(5 * SECOND)
     texts = [a.text for a in harness.all_actions if isinstance(a, i.Log)]
     assert texts == ["exchange 1 does not answer, backing off"]
@@ -265,7 +266,7 @@
     assert harness.controller.by_number[1].consecutive_unanswered == 0
 
 
-def test_processor_full_is_waited_out_and_then_tried_again() -> None:
+def test_full_processor_gets_no_set_ups_for_the_wait_that_it_asked_for() -> None:
     harness = ControllerHarness(remote_exchanges=1)
     call, _ = harness.offer(1)
     actions = harness.end_attempt(call, 1, i.Outcome.TURNED_AWAY, i.Cause.PROCESSOR_FULL, wait_us=900_000)
@@ -278,7 +279,7 @@
     assert not harness.controller.by_number[1].congested()
 
 
-def test_restart_begins_from_told_circuits_and_the_cached_list() -> None:
+def test_restarted_controller_needs_only_the_cached_list_and_reported_circuits() -> None:
     harness = ControllerHarness(remote_exchanges=2)
     harness.report(1, 0)
     harness.report(2, 13)
@@ -289,7 +290,7 @@
     assert sent_to(harness.offer(1)[1]) == []
 
 
-def test_list_on_request_is_followed_again_after_a_failure() -> None:
+def test_list_on_request_is_subscribed_to_again_after_a_failure() -> None:
     harness = ControllerHarness(settings_with(list_on_request=True))
     assert isinstance(harness.all_actions[0], i.SubscribeToList)
     assert not [a for a in harness.update_list(i.ListKind.FAILED) if isinstance(a, i.SubscribeToList)]
@@ -310,8 +311,8 @@
     assert logs[0] == logs[1]
 
 
-def late(harness: ControllerHarness, **more: object) -> bool:
-    """Whether a call to number 9 is taken for one past its aim: it leaves the last circuit free."""
+def past_target(harness: ControllerHarness, **more: object) -> bool:
+    """Whether a call to number 9 counts as past its target, and so does not get the last free circuit."""
     harness.report(1, 1)
     call, actions = harness.offer(1, called_number=9, **more)
     for sent in [a for a in actions if isinstance(a, i.SendSetup)]:
@@ -320,51 +321,52 @@
     return final_answers(actions) == [call]
 
 
-def failed_try(harness: ControllerHarness, **more: object) -> None:
+def fail_a_call(harness: ControllerHarness, **more: object) -> None:
+    """Offer a call to number 9 that gets no circuit until its time in the queue is over."""
     harness.report(1, 0)
     harness.offer(1, called_number=9, **more)
     harness.pass_time(2 * SECOND)
 
 
-def test_only_a_try_that_did_not_stand_makes_the_next_call_to_its_number_a_redial() -> None:
+def test_only_an_unanswered_call_makes_the_next_call_to_its_number_a_redial() -> None:
     harness = ControllerHarness(remote_exchanges=1)
-    failed_try(harness)
-    assert late(harness)
+    fail_a_call(harness)
+    assert past_target(harness)
     harness = ControllerHarness(remote_exchanges=1)
     harness.offer(1, called_number=9)
     harness.answer(1, 1)
     harness.pass_time(2 * SECOND)
-    assert not late(harness)
+    assert not past_target(harness)
 
 
-def test_two_callers_of_one_number_are_not_one_caller_dialling_again() -> None:
+def test_second_caller_of_a_number_is_not_taken_for_a_redial() -> None:
     harness = ControllerHarness(remote_exchanges=1)
-    failed_try(harness)
-    assert late(harness, redialled=True)
-    assert not late(harness)  # another caller, in a network that marks redials
+    fail_a_call(harness)
+    assert past_target(harness, redialled=True)
+    assert not past_target(harness)  # another caller: this network marks redials
     harness = ControllerHarness(remote_exchanges=1)
     harness.report(1, 0)
     harness.offer(1, called_number=9)
     harness.pass_time(SECOND)
-    assert not late(harness)  # the first caller's try is not over yet
+    assert not past_target(harness)  # the call of the first caller has not failed yet
 
 
-def test_rule_1_a_waiting_call_is_refused_long_before_its_deadline_for_a_proxy_that_stalls() -> None:
+def test_rule_1_queued_call_is_refused_well_before_its_deadline_in_case_the_process_stalls() -> None:
     harness = ControllerHarness(remote_exchanges=1)
     harness.report(1, 0, throttle_share=0.5)
     first, _ = harness.offer(1, called_number=5)
     assert final_answers(harness.pass_time(1_200_000)) == [first]  # with more than a second to spare
     harness.pass_time(SECOND)
-    again, actions = harness.offer(1, called_number=5)  # past its aim: not held at all
+    again, actions = harness.offer(1, called_number=5)  # past its target: not queued
     assert final_answers(actions) == [again]
 
 
-def test_a_call_that_can_be_sent_no_more_is_not_kept_waiting() -> None:
-    """An answer held back until the end of the wait would only keep the caller from dialling again."""
+def test_call_that_cannot_be_sent_any_more_is_refused_at_once() -> None:
+    """A later final answer would only keep the caller from redialling."""
     short = settings_with(max_attempts=1)
     cases = [  # settings, time on the call when its first attempt ends, how it ends
         (short, 0, i.Outcome.NO_LINE),  # no attempt is left
-        (SETTINGS, 700_000, i.Outcome.TIMED_OUT),  # the release time ends after the wait would
+        (SETTINGS, 700_000, i.Outcome.TIMED_OUT),  # the release time ends after its time in the queue
     ]
     for settings, after, outcome in cases:
         harness = ControllerHarness(settings)
@@ -373,9 +375,9 @@
         assert final_answers(harness.end_attempt(call, 1, outcome)) == [call], outcome
 
 
-def test_a_call_to_an_exchange_paused_past_the_wait_is_refused_at_once() -> None:
+def test_call_to_an_exchange_backed_off_past_its_time_in_the_queue_is_refused_at_once() -> None:
     harness = ControllerHarness(remote_exchanges=1)
-    for _ in range(4):  # silences: each doubles the pause
+    for _ in range(4):  # from the second unanswered attempt on each doubles the back-off
         call, _ = harness.offer(1)
         harness.end_attempt(call, 1, i.Outcome.UNREACHABLE, concluded=True)
         harness.now = max(harness.now, harness.controller.exchanges[101].blocked_until)
@@ -385,24 +387,24 @@
     assert final_answers(actions) == [call]
 
 
-def test_a_refused_caller_is_told_when_circuits_come_free() -> None:
-    def told_stay(free: int, waits_us: int, first_us: int) -> int:
+def test_retry_after_follows_the_rate_at_which_circuits_come_free() -> None:
+    def retry_after(free: int, pass_us: int, redial_after_us: int) -> int:
         harness = ControllerHarness(remote_exchanges=1, free=free)
         _, actions = harness.offer(1, called_number=77)
-        actions += harness.pass_time(waits_us)
-        if first_us:  # the caller dials again past its aim
-            harness.now += first_us
+        actions += harness.pass_time(pass_us)
+        if redial_after_us:  # the caller redials past its target
+            harness.now += redial_after_us
             _, actions = harness.offer(1, called_number=77)
         (refusal,) = [a for a in actions if isinstance(a, i.Refuse)]
         return refusal.retry_after_us
 
-    # 40 circuits held for 10 s each: one comes free every 250 ms. Past its aim a call can wait longer.
-    assert told_stay(0, 2 * SECOND, 0) == 250_000
-    assert told_stay(0, 2 * SECOND, SECOND) == SETTINGS.max_retry_after_us
+    # 40 circuits held for 10 s each: one comes free every 250 ms. Past its target a call gets the longest retry-after.
+    assert retry_after(0, 2 * SECOND, 0) == 250_000
+    assert retry_after(0, 2 * SECOND, SECOND) == SETTINGS.max_retry_after_us
 
 
 def test_a_group_found_full_costs_a_call_one_attempt() -> None:
-    """The far end fills the group before word of it comes: all attempts went within milliseconds."""
+    """The remote exchange has filled the group before its report arrives; else all attempts fail in milliseconds."""
     harness = ControllerHarness()
     call, actions = harness.offer(1)
     assert sent_to(actions) == [1]
@@ -417,8 +419,8 @@
     assert refusal == i.Refuse(call, SETTINGS.max_retry_after_us)
 
 
-def test_a_caller_whose_attempts_failed_by_chance_is_told_to_come_back_soon() -> None:
-    # An exchange that fails set-ups at random: without the word its callers come too late for their aim.
+def test_retry_after_is_short_when_the_attempts_failed_at_random() -> None:
+    # An exchange fails set-ups at random. With a long retry-after its callers would redial too late for their target.
     harness = ControllerHarness()
     call, _ = harness.offer(1)
     for _ in range(4):
@@ -427,7 +429,7 @@
     assert 0 < refusal.retry_after_us <= harness.controller.shortest_target_us // 10
 
 
-def test_an_exchange_that_has_gone_is_forgotten_and_its_calls_still_end() -> None:
+def test_removed_exchange_is_forgotten_and_its_calls_still_end() -> None:
     harness = ControllerHarness(remote_exchanges=2)
     call, _ = harness.offer(1)
     harness.update_list(i.ListKind.CHANGES, list_entry(1, i.ListState.GONE))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The five rules, each from what one proxy knows."""
+"""The five rules for session controllers, each tested from what one controller knows."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from .helpers import OWN, SECOND, SETTINGS, ControllerHarness, final_answers, list_entry, sent_to, settings_with
 
 
-def test_direct_first_then_the_freest_admitting_tandem() -> None:
+def test_direct_route_first_then_the_tandem_with_most_free_circuits() -> None:
     harness = ControllerHarness()
     assert sent_to(harness.offer(1)[1]) == [1]
     harness.report(1, 0)
@@ -16,7 +16,7 @@
     assert sent_to(harness.offer(1)[1]) == [3]
 
 
-def test_transit_goes_only_to_its_destination_or_back_at_once() -> None:
+def test_transit_call_is_sent_to_its_destination_or_refused_at_once() -> None:
     harness = ControllerHarness()
     call, actions = harness.offer(1, transit=True, via=2)
     assert sent_to(actions) == [1]
@@ -27,14 +27,14 @@
     assert final_answers(actions) == [call]
 
 
-def test_turned_back_transit_at_the_tandem_is_final() -> None:
+def test_refused_transit_attempt_is_final_at_the_tandem() -> None:
     harness = ControllerHarness()
     call, _ = harness.offer(1, transit=True, via=2)
     actions = harness.end_attempt(call, 1, i.Outcome.TURNED_AWAY, i.Cause.PROCESSOR_FULL)
     assert final_answers(actions) == [call] and not sent_to(actions)
 
 
-def test_rule_1_waiting_call_is_answered_before_its_deadline() -> None:
+def test_rule_1_queued_call_gets_its_final_answer_before_its_deadline() -> None:
     harness = ControllerHarness()
     for k in (1, 2, 3):
         harness.report(k, 0)
@@ -46,7 +46,7 @@
     assert harness.controller.calls == {} and harness.controller.queues == {}
 
 
-def test_rule_1_short_deadline_is_answered_in_time() -> None:
+def test_rule_1_final_answer_is_in_time_for_a_short_deadline() -> None:
     harness = ControllerHarness()
     for k in (1, 2, 3):
         harness.report(k, 0)
@@ -57,7 +57,7 @@
     assert final_answers(actions) == [call] and harness.now < begin + 300_000
 
 
-def test_rule_1_time_out_at_the_deadline_is_answered_at_once() -> None:
+def test_rule_1_final_answer_follows_a_time_out_at_the_deadline_at_once() -> None:
     harness = ControllerHarness()
     call, _ = harness.offer(1)
     harness.now += 3 * SECOND
@@ -65,7 +65,7 @@
     assert harness.end_attempt(call, 1, i.Outcome.TIMED_OUT) == []
 
 
-def test_rule_1_a_cut_call_that_comes_again_is_a_call_of_its_own() -> None:
+def test_rule_1_call_offered_again_after_a_cut_is_a_new_call() -> None:
     harness = ControllerHarness()
     call, _ = harness.offer(1)
     harness.answer(call, 1)
@@ -75,14 +75,14 @@
     assert sent_to(actions) == [1] and again != call
 
 
-def test_rule_2_nothing_more_is_sent_while_an_attempt_is_out() -> None:
+def test_rule_2_no_second_set_up_while_an_attempt_is_outstanding() -> None:
     harness = ControllerHarness()
     call, _ = harness.offer(1)
     later = harness.pass_time(2 * SECOND) + harness.report(1, 40) + harness.report(2, 40)
     assert not sent_to(later)
 
 
-def test_rule_3_nothing_to_a_draining_or_gone_or_missing_exchange() -> None:
+def test_rule_3_no_set_up_to_a_draining_or_removed_or_unlisted_exchange() -> None:
     for state in (i.ListState.DRAINING, i.ListState.GONE):
         harness = ControllerHarness()
         harness.update_list(i.ListKind.CHANGES, list_entry(1, state))
@@ -94,7 +94,7 @@
     assert final_answers(actions) == [call] and not sent_to(actions)
 
 
-def test_rule_3_a_waiting_call_gets_its_answer_once_its_exchange_drains() -> None:
+def test_rule_3_queued_call_gets_its_final_answer_when_its_exchange_drains() -> None:
     harness = ControllerHarness()
     for k in (1, 2, 3):
         harness.report(k, 0)
@@ -104,8 +104,8 @@
     assert not sent_to(harness.report(1, 40))
 
 
-def cold_sends(harness: ControllerHarness, seconds: int) -> list[int]:
-    """Times of sends to exchange 1, just started, under more calls than it may get."""
+def set_ups_in_warm_up(harness: ControllerHarness, seconds: int) -> list[int]:
+    """Times of set-ups to exchange 1, which has just started, with more calls offered than it may get."""
     times = []
     harness.update_list(i.ListKind.CHANGES, list_entry(1, started=harness.now))
     end = harness.now + seconds * SECOND
@@ -120,31 +120,31 @@
     return times
 
 
-def test_rule_4_all_proxies_together_stay_within_the_cold_budget_in_every_window() -> None:
+def test_rule_4_all_controllers_together_stay_within_the_cold_start_budget_in_every_window() -> None:
     harness = ControllerHarness()
     for k in (2, 3):
         harness.report(k, 40, setups_per_s=20.0)
-    times = cold_sends(harness, 10)
+    times = set_ups_in_warm_up(harness, 10)
     s = SETTINGS
-    takes = 20.0 + 2 * 10.0  # what warm exchanges say they can take, and the calls carried out and in
-    budget = s.collapse_multiple * s.cold_start_share * takes * s.collapse_us / SECOND
+    capacity = 20.0 + 2 * 10.0  # reported by exchanges after warm-up, and calls carried in both directions
+    budget = s.collapse_multiple * s.cold_start_share * capacity * s.collapse_us / SECOND
     assert times
     for t in times:
         assert s.controllers * sum(1 for u in times if t <= u < t + s.collapse_us) <= budget
 
 
-def test_rule_4_budget_without_any_report_comes_from_the_own_calls() -> None:
+def test_rule_4_budget_without_reports_is_estimated_from_own_calls() -> None:
     harness = ControllerHarness(settings_with(controllers=2))
     for _ in range(40):
         call, _ = harness.offer(2)
         harness.answer(call, 2)
         harness.end_attempt(call, 2, i.Outcome.RELEASED, concluded=True)
         harness.pass_time(SECOND // 4)
-    times = cold_sends(harness, 6)
+    times = set_ups_in_warm_up(harness, 6)
     assert 1 <= len(times) < 60
 
 
-def test_rule_4_a_warm_exchange_is_not_held_back_any_more() -> None:
+def test_rule_4_no_limit_after_the_warm_up() -> None:
     harness = ControllerHarness()
     harness.update_list(i.ListKind.CHANGES, list_entry(1, started=harness.now))
     sent = [sent_to(harness.offer(1)[1]) for _ in range(4)]
@@ -153,20 +153,20 @@
     assert sent_to(harness.offer(1)[1]) == [1]
 
 
-def test_rule_5_release_is_awaited() -> None:
+def test_rule_5_next_attempt_waits_for_the_release_time() -> None:
     for outcome in (i.Outcome.TIMED_OUT, i.Outcome.CUT, i.Outcome.CANCELLED):
         harness = ControllerHarness()
         call, _ = harness.offer(1, cls=1)
         harness.now += 100_000
-        told = harness.now
+        ended_us = harness.now
         actions = harness.end_attempt(call, 1, outcome)
         actions += harness.report(1, 40) + harness.report(2, 39)
         assert not sent_to(actions)
-        resent = None
-        while resent is None and harness.now < told + 2 * SECOND:
+        resent_us = None
+        while resent_us is None and harness.now < ended_us + 2 * SECOND:
             if sent_to(harness.pass_time(5_000) + harness.report(1, 40)):
-                resent = harness.now
-        assert resent is not None and resent >= told + SETTINGS.release_us
+                resent_us = harness.now
+        assert resent_us is not None and resent_us >= ended_us + SETTINGS.release_us
 
 
 def test_attempts_are_limited() -> None:
