--- a/tests/frames.py
+++ b/tests/frames.py
@@ -1,6 +1,6 @@
-"""Frames for driving the adapter as a process, laid out by hand from the wire page.
+"""Builders of frames for the simulator adapter, with layouts taken from the description of the wire, not from its code.
 
-Run as a script: `ask` writes a short session to standard output, `verify` checks the replies to it.
+Run as a script, `ask` writes a short session to standard output, and `verify` checks the replies to it.
 """
 
 from __future__ import annotations
@@ -45,6 +45,7 @@
 
 
 def record(data: bytes) -> bytes:
+    """Pad the data to an event record of 48 bytes."""
     assert len(data) <= 48
     return data + bytes(48 - len(data))
 
@@ -93,6 +94,7 @@
 
 
 def session() -> bytes:
+    """Return the frames of a short session: start, exchange list, two calls, the second to an unlisted exchange."""
     raw = SETTINGS.encode()
     tail = raw + list_entry(100, 0) + list_entry(101, 1) + list_entry(102, 2)
     begin = [start_instance(3, 0, len(raw)), list_table(2, len(raw), 3), exchange_list(3, 2, 2)]
@@ -110,6 +112,7 @@
 
 
 def replies(data: bytes) -> list[tuple[int, bytes]]:
+    """Split the adapter's output into replies: the number of action records, and the records with their tail."""
     out, at = [], 0
     while at < len(data):
         count, size = struct.unpack_from("<II", data, at)
@@ -119,6 +122,7 @@
 
 
 def verify(data: bytes) -> None:
+    """Check the replies to `session`: one set-up for the first call, a refusal of the second."""
     got = replies(data)
     assert len(got) == 6, got
     assert got[0] == (0, b""), got[0]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Small builders that the tests share."""
+"""Builders and harnesses that the tests share."""
 
 from __future__ import annotations
 
@@ -280,7 +280,7 @@
 
 
 class Peer:
-    """One end of a connection to the program."""
+    """A connection to the program, seen from the test: a caller or a link of an exchange."""
 
     def __init__(self, sock: socket.socket) -> None:
         sock.settimeout(10)
@@ -292,7 +292,7 @@
         self.sock.sendall(b"".join(map(p.encode, messages)))
 
     def next(self) -> p.Message | None:
-        """The next message, None at the end of the connection."""
+        """Wait for the next message; returns None at the end of the connection."""
         while not self.received:
             data = self.sock.recv(65536)
             if not data:
@@ -302,7 +302,7 @@
 
 
 class Program:
-    """The program as a process, among exchanges 0 to `far` and a command channel of the test's."""
+    """Runs the program as a process, with sockets for exchanges 0 to `remote_exchanges` and a command channel."""
 
     def __init__(
         self,
@@ -346,7 +346,7 @@
             self.process.send_signal(number)
 
     def start(self) -> subprocess.Popen[str]:
-        """Start `run` with the configuration as it is now."""
+        """Start a process with the current configuration."""
         self.path.write_text(json.dumps(self.config))
         return subprocess.Popen(
             ["/bin/sh", "-c", self.command],
@@ -355,7 +355,10 @@
         )  # fmt: skip
 
     def replace(self) -> subprocess.Popen[str]:
-        """Start a second process beside the first, with an admin address of its own; its links are the ones told of."""
+        """Start a successor with another admin address; returns the replaced process.
+
+        From then on, `process`, the links and the channel connection are those of the successor.
+        """
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.admin_port = free.getsockname()[1]
         self.config["admin_addr"] = f"127.0.0.1:{self.admin_port}"
@@ -388,20 +391,21 @@
         self.folder.cleanup()
 
     def accept(self, number: int) -> Peer:
-        """The next link that the program opens to an exchange."""
+        """Accept the next link that the program opens to an exchange."""
         return Peer(self.listeners[number].accept()[0])
 
     def caller(self) -> Peer:
+        """Connect to the program as a caller."""
         return Peer(socket.create_connection(("127.0.0.1", self.port), 10))
 
     def ask_admin(self, line: str) -> list[str]:
-        """The lines that the admin listener answers to a line."""
+        """Send a line to the admin listener; returns the lines of the answer."""
         with socket.create_connection(("127.0.0.1", self.admin_port), 10) as sock:
             sock.sendall(line.encode() + b"\n")
             return sock.makefile().read().splitlines()
 
     def wait_for_log_line(self, text: str) -> str:
-        """The next line of the log that holds a text; AssertionError if none comes for 10 s or the log ends."""
+        """Return the next log line that contains the text; AssertionError if there is none in 10 s or the log ends."""
         assert self.process.stderr is not None
         watch = threading.Timer(10, self.process.kill)
         watch.start()
@@ -411,10 +415,10 @@
                     return line
         finally:
             watch.cancel()
-        raise AssertionError(f"no line of the log holds {text!r}")
+        raise AssertionError(f"no log line contains {text!r}")
 
     def send_list_update(self, number: int, exchange: int, state: int, started_ms: int = 0) -> None:
-        """One event on the command channel."""
+        """Send one event on the command channel; `state` is the wire code: 0 ready, 1 draining, 2 gone."""
         port = self.listeners[exchange].getsockname()[1]
         address = bytes([127, 0, 0, 1])
         record = p.RECORD.pack(100 + exchange, address, port, state, 0, 0, exchange, 1000, started_ms)
--- a/tests/smoke.py
+++ b/tests/smoke.py
@@ -1,4 +1,4 @@
-"""Start the program by the deploy file's `run`, bring one call to stand, and end it with SIGTERM."""
+"""Starts the program with the `run` command of the deploy file, sets up one call, and ends the program with SIGTERM."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         assert caller.next() == p.Answer(2, b"description")
         program.process.send_signal(signal.SIGTERM)
         assert program.process.wait(10) == 0
-    print("the program serves a call and ends on SIGTERM")
+    print("the program sets up a call and exits on SIGTERM")
 
 
 if __name__ == "__main__":
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The adapter as a process: frames, bad input, determinism."""
+"""The simulator adapter as a process: frames, malformed input, determinism."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
     return subprocess.run(command, input=data, capture_output=True, env=env, timeout=60, check=False)
 
 
-def test_a_session_is_answered_and_the_end_of_input_is_clean() -> None:
-    done = run(frames.session())
-    assert done.returncode == 0 and done.stderr == b""
-    frames.verify(done.stdout)
+def test_a_session_is_answered_and_exits_with_0() -> None:
+    result = run(frames.session())
+    assert result.returncode == 0 and result.stderr == b""
+    frames.verify(result.stdout)
 
 
-def test_the_empty_batch_of_the_wire_page() -> None:
-    done = run(bytes.fromhex("5a5c80000000000004000000" + "00000000"))
-    assert done.stdout == bytes(8) and done.returncode == 0
+def test_an_empty_batch_gets_an_empty_reply() -> None:
+    result = run(bytes.fromhex("5a5c80000000000004000000" + "00000000"))
+    assert result.stdout == bytes(8) and result.returncode == 0
 
 
-def test_same_events_same_actions_under_other_hash_seeds() -> None:
+def test_actions_do_not_depend_on_the_hash_seed() -> None:
     assert len({run(frames.session(), seed).stdout for seed in ("0", "1", "77")}) == 1
 
 
@@ -47,15 +47,15 @@
         (frames.frame(5, [frames.list_table(0, 0, 4)]), "list entries outside the frame"),
     ],
 )
-def test_broken_frames_say_what_and_where(data: bytes, message: str) -> None:
-    done = run(data)
-    assert done.returncode != 0
-    lines = done.stderr.decode().strip().split("\n")
+def test_malformed_frames_are_reported_with_their_offset(data: bytes, message: str) -> None:
+    result = run(data)
+    assert result.returncode != 0
+    lines = result.stderr.decode().strip().split("\n")
     assert len(lines) == 1 and message in lines[0]
 
 
 @pytest.mark.parametrize(
-    ("line", "instead", "key"),
+    ("line", "replacement", "key"),
     [
         ("family-info.release-us=300000\n", "", "family-info.release-us"),
         ("instances=4\n", "instances=many\n", "instances"),
@@ -65,21 +65,21 @@
         ("rules.fall-multiple=3.0\n", "rules.fall-multiple=nan\n", "collapse_multiple"),
     ],
 )
-def test_a_missing_or_unreadable_setting_is_a_fault_that_names_it(line: str, instead: str, key: str) -> None:
-    raw = frames.SETTINGS.replace(line, instead).encode()
-    done = run(frames.frame(5, [frames.start_instance(0, 0, len(raw))], raw))
-    assert done.returncode == 0
-    count, body = frames.replies(done.stdout)[0]
+def test_a_missing_or_invalid_setting_gives_a_fault_that_names_it(line: str, replacement: str, key: str) -> None:
+    raw = frames.SETTINGS.replace(line, replacement).encode()
+    result = run(frames.frame(5, [frames.start_instance(0, 0, len(raw))], raw))
+    assert result.returncode == 0
+    count, body = frames.replies(result.stdout)[0]
     code, instance_id, at, size = struct.unpack_from("<BIII", body)
     assert (count, code, instance_id) == (1, 73, 0)
     assert key in body[24 + at : 24 + at + size].decode()
 
 
-def test_an_exception_in_the_module_is_a_fault_with_its_text(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(self: object, now_us: int, event: object) -> list[object]:
+def test_an_exception_in_the_decision_module_gives_a_fault_with_its_text(monkeypatch: pytest.MonkeyPatch) -> None:
+    def failing_handle(self: object, now_us: int, event: object) -> list[object]:
         raise KeyError("no such thing")
 
-    monkeypatch.setattr(benchlink.Controller, "handle", broken)
+    monkeypatch.setattr(benchlink.Controller, "handle", failing_handle)
     handler = benchlink.BatchHandler()
     raw = frames.SETTINGS.encode()
     body = frames.start_instance(0, 0, len(raw)) + frames.call_offered(0, 1, 1.0, 99) + raw
@@ -87,7 +87,7 @@
     assert count == 1 and out[0] == 73 and b"KeyError: 'no such thing'" in out
 
 
-def test_a_list_number_used_again_within_a_batch_is_read_in_order() -> None:
+def test_a_list_declared_twice_in_a_batch_is_read_in_order() -> None:
     handler = benchlink.BatchHandler()
     raw = frames.SETTINGS.encode()
     tail = raw + frames.list_entry(100, 0) + frames.list_entry(101, 1) + frames.list_entry(101, 1, state=2)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,4 +1,4 @@
-"""The operators' parts: the lines of the admin listener, the figures, and what staff may ask of the running program."""
+"""The admin listener: its commands and answers, the figures, readiness, draining, and the listener on real sockets."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 C = o.Command
 
 
-class Words(unittest.TestCase):
-    def test_lines(self) -> None:
+class AdminCodec(unittest.TestCase):
+    def test_commands_are_parsed(self) -> None:
         cases = {
             b"PING": C.PING, b"INFO\r": C.INFO, b" LAMEDUCK ": C.LAMEDUCK, b"REJOIN": C.REJOIN,
             b"": None, b"ping": None, b"PING PING": None, b"\xff\xfe": None, b"QUIT": None,
@@ -28,7 +28,7 @@
         for line, command in cases.items():
             self.assertIs(o.parse_command(line), command, line)
 
-    def test_figures(self) -> None:
+    def test_figures_are_rendered(self) -> None:
         figures = {o.class_figure_name("succeeded", "a.b:c|d"): 3, "outstanding": 0, "of_no_table": 5}
         text = "edge_gw.succeeded.a_b_c_d:3|c\nedge_gw.outstanding:0|g\n"
         self.assertEqual(o.render_statsd(figures), text)
@@ -36,21 +36,21 @@
         self.assertEqual(o.encode_answer(False, "bad"), b"ERR bad\n")
 
 
-class Figures(unittest.TestCase):
-    def test_each_end_of_a_request_counts_once_for_its_class(self) -> None:
+class FigureCounts(unittest.TestCase):
+    def test_each_ended_call_counts_once_for_its_class(self) -> None:
         desk = Desk()
-        zeroes = {name: desk.figure(f"{name}.premium_quote") for name in o.CLASS_FIGURES}
-        self.assertEqual(zeroes, {"succeeded": 0, "declined": 0, "aborted": 0})
+        initial_counts = {name: desk.figure(f"{name}.premium_quote") for name in o.CLASS_FIGURES}
+        self.assertEqual(initial_counts, {"succeeded": 0, "declined": 0, "aborted": 0})
         self.assertEqual((desk.figure("discovered"), desk.figure("ejected")), (3, 0))
         desk.stand(1)
         desk.hear(1, set_up(2))
-        self.assertEqual(desk.figure("outstanding"), 2)  # one of them stands: it has not ended
-        desk.hear(1, set_up(2))  # the same id again: which is meant cannot be told, it fails
+        self.assertEqual(desk.figure("outstanding"), 2)  # a standing call has not ended
+        desk.hear(1, set_up(2))  # a repeated id is ambiguous: the call fails
         desk.hear(1, set_up(3, to=9))  # no such exchange: refused
         self.assertEqual(desk.figure("outstanding"), 1)
         self.assertEqual([desk.figure(f"{name}.premium_quote") for name in o.CLASS_FIGURES], [1, 1, 1])
 
-    def test_an_attempt_counts_once_it_has_left_whole(self) -> None:
+    def test_an_attempt_counts_once_it_is_completely_written(self) -> None:
         desk = Desk()
         link = desk.link[1]
         desk.hold.add(link)
@@ -59,14 +59,14 @@
         desk.do(s.WriteCompleted(link))
         self.assertEqual(desk.figure("forwards"), 1)
 
-    def test_a_silent_exchange_is_told_as_avoided(self) -> None:
+    def test_a_silent_exchange_counts_as_ejected(self) -> None:
         desk = Desk(far=1)
         for call in (1, 2):
             desk.hear(1, set_up(call, wait_ms=300))
         desk.pass_time(500_000)
         self.assertEqual(desk.figure("ejected"), 1)
 
-    def test_info_is_the_live_registry(self) -> None:
+    def test_info_shows_the_current_figures(self) -> None:
         desk = Desk()
         desk.do(s.ConfigRejected("it is empty"))
         lines = desk.ask(C.INFO).splitlines()
@@ -77,12 +77,12 @@
 
 
 class Readiness(unittest.TestCase):
-    def test_ping_says_yes_once_groups_are_told_or_time_is_up(self) -> None:
+    def test_ping_succeeds_once_group_states_are_known_or_the_time_limit_is_over(self) -> None:
         desk = Desk()
         self.assertEqual(desk.ask(C.PING), "OK serving\n")
         session = s.Session(desk.session.classes.settings, 7, 1024)
         session.step(desk.now, s.Started((p.ListUpdate(1, i.ListKind.FULL, ()),), 1, ("127.0.0.1", 9)))
-        self.assertIs(session.phase, s.Phase.STARTING)  # nothing listens
+        self.assertIs(session.phase, s.Phase.STARTING)  # the listener is not ready yet
         desk.session.exchanges.by_id[102].sends_group_states = False
         self.assertEqual(desk.ask(C.PING), "ERR starting\n")
         self.assertEqual(desk.hear(1, p.HealthCheck(9)), [(1, p.HealthCheckResult(9, False))])
@@ -90,14 +90,14 @@
         self.assertEqual(desk.ask(C.PING), "OK serving\n")
 
 
-class Drain(unittest.TestCase):
+class Draining(unittest.TestCase):
     def setUp(self) -> None:
         self.desk = Desk()
         for stream in (2, 3):
             self.desk.do(s.Accepted(stream))
         self.desk.pass_time(SECOND)
 
-    def test_idle_connections_close_once_new_ones_have_ceased_and_busy_ones_when_answered(self) -> None:
+    def test_idle_connections_close_once_no_new_ones_arrive_and_busy_ones_after_their_calls(self) -> None:
         desk = self.desk
         desk.hear(2, set_up(5))
         self.assertEqual(desk.ask(C.LAMEDUCK), "OK draining\n")
@@ -107,33 +107,33 @@
         desk.pass_time(limits.DRAIN_MIN_OPEN_US - 1)
         self.assertEqual(desk.closed, [])
         desk.do(s.Accepted(6))
-        desk.hear(1, set_up(6))  # still taken
+        desk.hear(1, set_up(6))  # still accepted
         self.assertEqual(len(desk.session.calls.by_id), 2)
         desk.pass_time(limits.DRAIN_INTERVAL_US)
-        self.assertEqual(sorted(desk.closed), [3, 4])  # 6 may be about to speak
+        self.assertEqual(sorted(desk.closed), [3, 4])  # 6 was accepted too recently: it may be about to send
         desk.hear(desk.link[1], p.Answer(5, b"yes"))
         desk.pass_time(limits.DRAIN_INTERVAL_US)
-        self.assertEqual(sorted(desk.closed), [3, 4])  # its end is owed to its caller, who has no other way
+        self.assertEqual(sorted(desk.closed), [3, 4])  # the end of call 5 can only be sent on this connection
         desk.hear(desk.link[1], p.Release(5, p.ReleaseCause.NORMAL))
         desk.pass_time(limits.DRAIN_INTERVAL_US)
         self.assertEqual(sorted(desk.closed), [2, 3, 4])
 
-    def test_where_a_call_stands_the_connection_stays_until_its_end_is_told_and_set_ups_on_it_are_refused(self) -> None:
-        for asked_us in (2 * SECOND, 6 * SECOND):
+    def test_a_connection_with_a_standing_call_stays_until_the_end_is_sent_and_refuses_set_ups(self) -> None:
+        for refused_after_us in (2 * SECOND, 6 * SECOND):
             desk = Desk()
             desk.stand(5)
             desk.ask(C.LAMEDUCK)
-            desk.pass_time_in_touch(asked_us)
+            desk.pass_time_in_touch(refused_after_us)
             (refusal,) = [m for stream, m in desk.hear(1, set_up(6, to=2)) if stream == 1]
             self.assertEqual((refusal.call, refusal.cause), (6, p.ReleaseCause.CONGESTION))
-            desk.pass_time_in_touch(9 * SECOND - asked_us)
+            desk.pass_time_in_touch(9 * SECOND - refused_after_us)
             self.assertEqual(desk.closed, [])
             end = p.Release(5, p.ReleaseCause.NORMAL)
             self.assertIn((1, end), desk.hear(desk.link[1], end))
             desk.pass_time(limits.DRAIN_INTERVAL_US)
             self.assertEqual(desk.closed, [1])
 
-    def test_a_connection_that_is_never_idle_is_so_before_2_s(self) -> None:
+    def test_a_connection_that_is_never_idle_is_refused_set_ups_before_2_s(self) -> None:
         desk = self.desk
         desk.hear(1, set_up(5))
         desk.ask(C.LAMEDUCK)
@@ -144,7 +144,7 @@
         self.assertEqual(written, [(1, refusal)])
         self.assertEqual(desk.figure("declined.premium_quote"), before + 1)
 
-    def test_what_stays_half_sent_is_closed_before_4_s(self) -> None:
+    def test_a_connection_with_a_partial_message_is_closed_before_4_s(self) -> None:
         desk = self.desk
         desk.ask(C.LAMEDUCK)
         desk.pass_time(SECOND * 19 // 10)
@@ -155,7 +155,7 @@
         desk.pass_time(SECOND * 7 // 10)
         self.assertIn(7, desk.closed)
 
-    def test_rejoin_ends_a_drain_and_sigterm_lets_none_begin_or_end(self) -> None:
+    def test_rejoin_ends_a_drain_and_after_sigterm_neither_is_possible(self) -> None:
         desk = self.desk
         desk.ask(C.LAMEDUCK)
         self.assertEqual(desk.ask(C.REJOIN), "OK serving\n")
@@ -183,44 +183,44 @@
             self.assertEqual(busy.next(), p.Release(1, p.ReleaseCause.NORMAL))
             self.assertIsNone(busy.next())
             self.assertEqual(program.ask_admin("REJOIN"), ["OK serving"])
-            again = program.caller()
-            again.send(p.HealthCheck(2))
-            self.assertEqual(again.next(), p.HealthCheckResult(2, True))
+            new_caller = program.caller()
+            new_caller.send(p.HealthCheck(2))
+            self.assertEqual(new_caller.next(), p.HealthCheckResult(2, True))
 
-    def test_what_lies_unread_keeps_its_connection_open(self) -> None:
-        ours, theirs = socket.socketpair()
-        with ours, theirs:
-            self.assertEqual(unread_bytes(ours), 0)
-            theirs.sendall(b"abc")
-            self.assertEqual(unread_bytes(ours), 3)
+    def test_unread_bytes_are_counted(self) -> None:
+        local, remote = socket.socketpair()
+        with local, remote:
+            self.assertEqual(unread_bytes(local), 0)
+            remote.sendall(b"abc")
+            self.assertEqual(unread_bytes(local), 3)
 
 
 class AdminListener(unittest.TestCase):
-    def test_its_address_is_in_the_file_or_the_environment_or_there_is_none(self) -> None:
-        bare = p.Config("n0", ("127.0.0.1", 1), 1, 384, ("127.0.0.1", 2), 0, (), "")
-        named = replace(bare, admin=("127.0.0.1", 3))
+    def test_the_address_comes_from_the_file_or_the_environment(self) -> None:
+        config_without_admin = p.Config("n0", ("127.0.0.1", 1), 1, 384, ("127.0.0.1", 2), 0, (), "")
+        config_with_admin = replace(config_without_admin, admin=("127.0.0.1", 3))
         cases = (
-            (bare, {}, None),
-            (bare, {"GW_ADMIN_ADDR": "127.0.0.1:4"}, ("127.0.0.1", 4)),
-            (named, {"GW_ADMIN_ADDR": "127.0.0.1:4"}, ("127.0.0.1", 3)),
+            (config_without_admin, {}, None),
+            (config_without_admin, {"GW_ADMIN_ADDR": "127.0.0.1:4"}, ("127.0.0.1", 4)),
+            (config_with_admin, {"GW_ADMIN_ADDR": "127.0.0.1:4"}, ("127.0.0.1", 3)),
         )
         for config, environ, address in cases:
             self.assertEqual(with_admin_address(config, environ).admin, address)
         with self.assertRaises(ValueError):
-            with_admin_address(bare, {"GW_ADMIN_ADDR": "nowhere"})
+            with_admin_address(config_without_admin, {"GW_ADMIN_ADDR": "nowhere"})
 
-    def test_callers_are_served_where_its_address_is_taken(self) -> None:
-        with socket.create_server(("127.0.0.1", 0)) as taken:
-            port = taken.getsockname()[1]
+    def test_callers_are_served_although_the_admin_address_is_in_use(self) -> None:
+        with socket.create_server(("127.0.0.1", 0)) as occupied:
+            port = occupied.getsockname()[1]
             with Program(admin_port=port) as program:
                 program.wait_for_log_line("no admin listener")
                 caller = program.caller()
                 caller.send(set_up(1))
                 self.assertEqual(program.links[1].next().call, 1)
 
-    def test_every_line_is_answered_beside_those_who_dawdle(self) -> None:
+    def test_every_line_is_answered_despite_slow_clients(self) -> None:
         with Program() as program:
-            dawdlers = [socket.create_connection(("127.0.0.1", program.admin_port), 10) for _ in range(20)]
+            slow_clients = [socket.create_connection(("127.0.0.1", program.admin_port), 10) for _ in range(20)]
             self.assertIn(program.ask_admin("PING")[0], ("OK serving", "ERR starting"))
             self.assertTrue(program.ask_admin("HELP")[0].startswith("ERR "))
             self.assertTrue(program.ask_admin("x" * 5000)[0].startswith("ERR "))
@@ -230,8 +230,8 @@
             lines = program.ask_admin("INFO")
             self.assertIn("edge_gw.outstanding:1|g", lines)
             self.assertEqual(lines[-1], "END")
-            self.assertEqual(dawdlers[0].recv(10), b"")  # the oldest has made room
-            dawdlers[-1].sendall(b"INFO\n")
-            self.assertTrue(dawdlers[-1].recv(10).startswith(b"OK"))
-            for sock in dawdlers:
+            self.assertEqual(slow_clients[0].recv(10), b"")  # the oldest connection was closed to make room
+            slow_clients[-1].sendall(b"INFO\n")
+            self.assertTrue(slow_clients[-1].recv(10).startswith(b"OK"))
+            for sock in slow_clients:
                 sock.close()
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The example in README runs and prints what README says."""
+"""The example in README.md runs and prints the output that README.md shows."""
 
 from __future__ import annotations
 
