--- a/latchturn/checking/environment.py
+++ b/latchturn/checking/environment.py
@@ -249,10 +249,10 @@
 
     def alive(self, timer: Timer) -> bool:
         """Whether a timer may still do anything: those withdrawn would only add moments."""
-        what = timer.what
+        what = timer.subject
         if timer.kind in (TimerKind.ATTEMPT, TimerKind.GIVE_UP):
             return isinstance(what, s.Attempt) and what.call.attempt is what
-        if timer.kind is TimerKind.MODULE:
+        if timer.kind is TimerKind.DECISION_MODULE:
             return self.token_lives(what)
         return timer.kind is not TimerKind.DEADLINE or what is not None
 
--- a/latchturn/checking/plants.py
+++ b/latchturn/checking/plants.py
@@ -73,7 +73,7 @@
     def make(old: Body) -> Body:
         return lambda s, kind, what: None if kind is TimerKind.ATTEMPT else old(s, kind, what)
 
-    _change(reducer.Session, "_due", make)
+    _change(reducer.Session, "_timer_due", make)
 
 
 @_fault("mini", "the module does not wait after an attempt that was reset")
@@ -132,7 +132,7 @@
 
         return leaves
 
-    _change(attempts.Attempts, "as_it_leaves", make)
+    _change(attempts.Attempts, "prepare_set_up", make)
     _change(exchanges.Exchanges, "take_back", lambda _: lambda s, exchange: None)
 
 
@@ -157,7 +157,7 @@
 
         return asked
 
-    _change(callers.Callers, "asked", make)
+    _change(callers.Callers, "take_set_up", make)
 
 
 @_fault("mini", "a refused call stays in the table and is failed once more at its deadline")
@@ -173,12 +173,12 @@
 
 @_fault("mini", "timers are not withdrawn with what they are about")
 def _timer_outlives() -> None:
-    _change(timers.Timers, "drop", lambda _: staticmethod(lambda timer: None))
+    _change(timers.Timers, "cancel", lambda _: staticmethod(lambda timer: None))
 
 
 @_fault("writes", "a release that was being written as its connection closed is not sent on another")
 def _release_lost_with_connection() -> None:
-    _change(writing.Writing, "unfinished_releases", lambda _: lambda s, stream: [])
+    _change(writing.Writing, "undelivered_releases", lambda _: lambda s, stream: [])
 
 
 @_fault("rude", "a release that finds no caller's connection is dropped")
@@ -196,7 +196,7 @@
 def _waits_for_ever() -> None:
     def make(old: Body) -> Body:
         def put(self: Any, delay_us: int, kind: TimerKind, what: object = None) -> Any:
-            far = kind in (TimerKind.MODULE, TimerKind.DEADLINE)
+            far = kind in (TimerKind.DECISION_MODULE, TimerKind.DEADLINE)
             return old(self, delay_us + (10_000_000 if far else 0), kind, what)
 
         return put
@@ -219,7 +219,7 @@
 
         return final
 
-    _change(calls.Calls, "final", make)
+    _change(calls.Calls, "send_final_answer", make)
 
 
 @_fault("mini", "the number called is passed on changed")
@@ -231,7 +231,7 @@
 
         return leaves
 
-    _change(attempts.Attempts, "as_it_leaves", make)
+    _change(attempts.Attempts, "prepare_set_up", make)
 
 
 @_fault("mini", "each attempt is promised the caller's whole wait")
@@ -244,7 +244,7 @@
 
         return leaves
 
-    _change(attempts.Attempts, "as_it_leaves", make)
+    _change(attempts.Attempts, "prepare_set_up", make)
 
 
 def _any_link() -> None:
@@ -270,7 +270,7 @@
     def make(old: Body) -> Body:
         def answered(self: Any, exchange: Any, link: Any, answer: Any, attempt: Any) -> Any:
             if attempt is None and answer.call in self.calls.by_id:
-                self.calls.final(answer.call, p.Answer(answer.call, answer.description))
+                self.calls.send_final_answer(answer.call, p.Answer(answer.call, answer.description))
                 return None
             return old(self, exchange, link, answer, attempt)
 
@@ -291,7 +291,7 @@
 
         return leave
 
-    _change(calls.Calls, "leave", make)
+    _change(calls.Calls, "abandon", make)
 
 
 @_fault("mini", "the calls of a connection that closes are not given up")
@@ -323,7 +323,7 @@
 
         return cut
 
-    _change(calls.Calls, "cut", make)
+    _change(calls.Calls, "cut_off", make)
 
 
 @_fault("settings", "a drain closes connections though calls wait on them")
@@ -385,11 +385,11 @@
             due = [x.attempt for x in stream.in_flight if hasattr(x, "attempt")] if stream else []
             old(self, ident)
             for attempt in due:
-                self.attempts.give_back(attempt)
+                self.attempts.detach(attempt)
 
         return wrote
 
-    _change(writing.Writing, "wrote", make)
+    _change(writing.Writing, "write_completed", make)
 
 
 @_fault("mini", "what is owed on a connection is not struck off as a call is forgotten")
@@ -426,7 +426,7 @@
 
         return final
 
-    _change(calls.Calls, "final", make)
+    _change(calls.Calls, "send_final_answer", make)
 
 
 @_fault("list", "an exchange that drains is taken for one that is ready")
@@ -455,7 +455,7 @@
 
         return final
 
-    _change(calls.Calls, "final", make)
+    _change(calls.Calls, "send_final_answer", make)
 
 
 @_fault("strays", "a refusal on any link ends the attempt that is out")
--- a/latchturn/checking/remains.py
+++ b/latchturn/checking/remains.py
@@ -34,12 +34,12 @@
     found += [f"owed calls on caller {c.ident}" for c in session.callers.by_stream.values() if c.unanswered]
     found += [f"attempts on link {k.ident}" for k in session.links.by_stream.values() if k.attempts]
     found += [f"standing calls at {e.ident}" for e in session.exchanges.by_id.values() if e.standing_calls]
-    kinds = [t.kind for _, _, t in session.timers.heap if t.kind in OF_CALLS and t.what is not None]
+    kinds = [t.kind for _, _, t in session.timers.heap if t.kind in OF_CALLS and t.subject is not None]
     found += [f"a timer {kind.name}" for kind in kinds]
     return found
 
 
 def hanging(session: Session) -> list[str]:
     """Timers that still hold a call or an attempt though every call is over."""
-    kinds = [t.kind for _, _, t in session.timers.heap if t.kind in OF_CALLS and t.what is not None]
+    kinds = [t.kind for _, _, t in session.timers.heap if t.kind in OF_CALLS and t.subject is not None]
     return [f"a timer {kind.name}" for kind in kinds if not session.calls.by_id]
--- a/latchturn/checking/states.py
+++ b/latchturn/checking/states.py
@@ -86,9 +86,9 @@
             "timers",
         )
     ),
-    Timers: frozenset(("count", "heap")),
+    Timers: frozenset(("sequence", "heap")),
     # What settings are in use says the rest; the classes before end with their callers' patience.
-    Classes: frozenset(("served", "settings", "by_name", "tenants", "before")),
+    Classes: frozenset(("known_names", "settings", "index_by_name", "tenants", "previous")),
     History: frozenset(("now", "tell")),
     Environment: frozenset(("scope", "now", "session", "story")),
 }
@@ -157,7 +157,7 @@
     tokens = [(module.timers[k], walk.of(k)) for k in module.timers if environment.token_lives(k)]
     parts = [walk.of(part) for part in vars(session).values() if isinstance(part, Component)]
     timers = [
-        (at - environment.now, timer.kind.name, walk.of(timer.what))
+        (at - environment.now, timer.kind.name, walk.of(timer.subject))
         for at, _, timer in sorted(session.timers.heap, key=lambda t: t[:2])
         if environment.alive(timer)
     ]
--- a/latchturn/session/attempts.py
+++ b/latchturn/session/attempts.py
@@ -56,7 +56,7 @@
         others = [
             k.last_received_us for k in self.exchanges.by_id[link.exchange_id].links.values() if k is not link and k.up
         ]
-        if link.unanswered_timeouts and self.is_mute(attempt, others):
+        if link.unanswered_timeouts and self.is_unresponsive(attempt, others):
             self.links.drop_mute(link)
             return
         if link.unanswered_timeouts:
@@ -65,7 +65,7 @@
         self.writing.queue(attempt.link, PendingGiveUp(attempt))
         attempt.timer = self.timers.set(GIVE_UP_TIMEOUT_US, TimerKind.GIVE_UP, attempt)
 
-    def is_mute(self, attempt: Attempt, others_heard_us: list[int]) -> bool:
+    def is_unresponsive(self, attempt: Attempt, others_heard_us: list[int]) -> bool:
         """Whether a link on which nothing has been heard since an attempt left is of no use any more: others have
         heard something, or there are none and no call needs it."""
         if self.liveness.is_last_witness(attempt.link):
@@ -84,9 +84,9 @@
     ) -> None:
         """It came to nothing: the module hears how."""
         call = attempt.call
-        self.give_back(attempt)
+        self.detach(attempt)
         self.core.counters[f"attempts_{outcome.name.lower()}"] += 1
-        self.core.note(
+        self.core.record(
             TraceEvent.ATTEMPT_ENDED, call=call.ident, exchange=attempt.link.exchange_id,
             stream=attempt.link.ident, reason=outcome.name,
         )  # fmt: skip
@@ -97,14 +97,14 @@
             )
         )  # fmt: skip
 
-    def give_back(self, attempt: Attempt) -> None:
+    def detach(self, attempt: Attempt) -> None:
         """Its link, its timer and its place in the call are free again."""
         attempt.state = ATTEMPT.go(attempt.state, AttemptMove.END)
         attempt.link.attempts.discard(attempt)
-        self.timers.drop(attempt.timer)
+        self.timers.cancel(attempt.timer)
         attempt.call.attempt = None
 
-    def as_it_leaves(self, attempt: Attempt) -> SetUp | None:
+    def prepare_set_up(self, attempt: Attempt) -> SetUp | None:
         """The set-up of an attempt as its bytes leave, if it still may."""
         call = attempt.call
         if call.attempt is not attempt or self.core.now >= attempt.due_us:
@@ -114,7 +114,7 @@
             return None
         attempt.state = ATTEMPT.go(attempt.state, AttemptMove.LEAVE)
         attempt.sent_us = self.core.now
-        self.core.note(
+        self.core.record(
             TraceEvent.ATTEMPT_SENT, call=call.ident, exchange=attempt.link.exchange_id, stream=attempt.link.ident
         )
         wait_ms = max(1, (attempt.due_us - self.core.now) // 1000)
--- a/latchturn/session/callers.py
+++ b/latchturn/session/callers.py
@@ -40,7 +40,7 @@
         self.by_stream: dict[int, Caller] = {}
         self.without_calls: dict[int, Caller] = {}  # those that have set up no call, as they last did anything
 
-    def asked(self, caller: Caller, message: SetUp | InvalidSetUp, waited_us: int) -> None:
+    def take_set_up(self, caller: Caller, message: SetUp | InvalidSetUp, waited_us: int) -> None:
         """A set-up from a caller."""
         self.core.counters["set_ups"] += 1
         known = self.calls.by_id.get(message.call)
@@ -52,39 +52,39 @@
             if known is None or known.caller_stream == caller.ident:
                 if known is not None and known.standing_exchange is None:
                     self.calls.fail(known, "its id is used again on its connection")
-                self.fault(caller, "id used again")
+                self.count_fault(caller, "id used again")
             else:
                 self.shut(caller, f"id {message.call:016x} is another caller's")
             return
-        reason = message.reason if isinstance(message, InvalidSetUp) else self.classes.unusable(message)
+        reason = message.reason if isinstance(message, InvalidSetUp) else self.classes.describe_errors(message)
         if reason or isinstance(message, InvalidSetUp):
             self.core.counters["set_ups_unusable"] += 1
-            self.core.note(TraceEvent.CALL_FAILED, call=message.call, stream=caller.ident, reason=reason)
-            self.calls.remember_answered(message.call)
+            self.core.record(TraceEvent.CALL_FAILED, call=message.call, stream=caller.ident, reason=reason)
+            self.calls.remember_rejected(message.call)
             self.writing.queue(caller, Release(message.call, ReleaseCause.INVALID_CONTENTS))
-            self.fault(caller, f"set-ups that cannot be used, the last for its {reason}")
+            self.count_fault(caller, f"set-ups that cannot be used, the last for its {reason}")
         elif len(caller.unanswered) >= MAX_OPEN_CALLS or len(self.calls.by_id) >= MAX_CALLS or self.phases.answer_all:
             # Guards the others' calls and the memory against a flood.
             self.core.counters["set_ups_over_budget"] += 1
-            self.core.note(
+            self.core.record(
                 TraceEvent.CALL_REFUSED, call=message.call, stream=caller.ident, reason="over budget or ending"
             )
-            self.classes.count("declined", message.class_name)
-            self.calls.remember_answered(message.call)
+            self.classes.count_outcome("declined", message.class_name)
+            self.calls.remember_rejected(message.call)
             stay_ms = self.classes.settings.max_retry_after_us // 1000
             self.writing.queue(caller, Release(message.call, ReleaseCause.CONGESTION, retry_after_ms=stay_ms))
         elif self.core.now >= self.phases.refuse_us:
             # Guards the drain's end against a connection that is never idle.
-            self.core.note(TraceEvent.CALL_REFUSED, call=message.call, stream=caller.ident, reason="draining")
-            self.calls.remember_answered(message.call)
-            self.classes.count("declined", message.class_name)
+            self.core.record(TraceEvent.CALL_REFUSED, call=message.call, stream=caller.ident, reason="draining")
+            self.calls.remember_rejected(message.call)
+            self.classes.count_outcome("declined", message.class_name)
             self.writing.queue(
                 caller, Release(message.call, ReleaseCause.CONGESTION, retry_after_ms=DRAIN_RETRY_AFTER_MS)
             )
         else:
             self.calls.offer(caller, message, waited_us)
 
-    def fault(self, caller: Caller, why: str) -> None:
+    def count_fault(self, caller: Caller, why: str) -> None:
         """Guards the others' calls against a caller that floods the program with what is of no use."""
         caller.faults += 1
         if caller.faults >= MAX_FAULTS and not caller.finishing:
@@ -100,12 +100,12 @@
             self.calls.fail(self.calls.by_id[ident], why)
         self.close_if_finished(caller)
 
-    def accepted(self, stream: int) -> None:
+    def accept(self, stream: int) -> None:
         self.core.counters["callers_accepted"] += 1
-        if len(self.by_stream) >= self.most():
+        if len(self.by_stream) >= self.limit():
             # Guards the descriptor limit: the connection that is worth least makes room, else the new one.
             self.core.counters["callers_over_budget"] += 1
-            least = self.least()
+            least = self.least_valuable_idle()
             if least is None:
                 self.core.effects.append(Close(stream))
                 return
@@ -113,15 +113,15 @@
         caller = Caller(stream, StreamState.UP, True, accepted_us=self.core.now, last_active_us=self.core.now)
         self.by_stream[stream] = self.without_calls[stream] = caller
 
-    def most(self) -> int:
+    def limit(self) -> int:
         """How many connections of callers fit the descriptor limit, beside those of the other process."""
-        ours = self.core.sockets - self.phases.other_holds
+        ours = self.core.socket_limit - self.phases.other_holds
         return max(
             ours // MIN_CALLERS_DIVISOR,
             ours - RESERVED_DESCRIPTORS - DESCRIPTORS_PER_EXCHANGE * len(self.exchanges.by_id),
         )
 
-    def least(self) -> Caller | None:
+    def least_valuable_idle(self) -> Caller | None:
         """The idle connection that is worth least, None if all are busy.
 
         Guards good callers against a crowd. Strangers go first, by when they last did anything: a set-up
@@ -140,28 +140,28 @@
 
     def make_room(self) -> None:
         """The other process holds more now: what fits no more goes."""
-        while len(self.by_stream) > self.most() and (least := self.least()) is not None:
+        while len(self.by_stream) > self.limit() and (least := self.least_valuable_idle()) is not None:
             self.core.counters["callers_over_budget"] += 1
             self.writing.drop(least, CloseReason.NO_DESCRIPTORS)
 
-    def half_read(self, caller: Caller, half: bool) -> None:
+    def set_partial(self, caller: Caller, half: bool) -> None:
         """Its input ends within a message, or does so no more."""
         caller.partial_since_us = (caller.partial_since_us or self.core.now) if half else 0
-        self.active(caller)
+        self.mark_active(caller)
 
-    def active(self, caller: Caller) -> None:
+    def mark_active(self, caller: Caller) -> None:
         """It has sent something. Strangers are kept in the order in which they last did."""
         caller.last_active_us = self.core.now
         if self.without_calls.pop(caller.ident, None) is not None:
             self.without_calls[caller.ident] = caller
 
-    def heard(self, caller: Caller, message: Message, waited_us: int) -> None:
+    def receive(self, caller: Caller, message: Message, waited_us: int) -> None:
         if caller.finishing:
             return
-        self.active(caller)
+        self.mark_active(caller)
         caller.partial_since_us = caller.partial_since_us and self.core.now
         if isinstance(message, SetUp | InvalidSetUp):
-            self.asked(caller, message, waited_us)
+            self.take_set_up(caller, message, waited_us)
             if caller.trust:
                 self.end_notices.send_held(caller)
         elif isinstance(message, Release):
@@ -173,21 +173,21 @@
                 if message.call not in self.calls.ended:
                     if self.phases.other_calls:
                         self.core.effects.append(ForwardRelease(message.call, message.cause))
-                    self.fault(caller, "releases of unknown calls")
+                    self.count_fault(caller, "releases of unknown calls")
             else:
                 if call.standing_exchange is not None:
                     self.writing.queue(caller, ReleaseConfirmed(call.ident))
-                self.calls.told_over(call, message.cause)
+                self.calls.end_by_caller(call, message.cause)
         elif isinstance(message, ReleaseConfirmed) and caller.unconfirmed.pop(message.call, None) is not None:
             self.core.counters["releases_heard"] += 1
         elif isinstance(message, HealthCheck):
             # The front asks here whether to send more. Who ends may have a successor at the address.
             ready = self.phases.phase in (Phase.SERVING, Phase.ENDING)
             self.writing.queue(caller, HealthCheckResult(message.call, ready))
-            self.fault(caller, "tests")
+            self.count_fault(caller, "tests")
         else:
             self.core.counters["messages_passed_over"] += 1
-            self.fault(caller, "messages of no use")
+            self.count_fault(caller, "messages of no use")
 
     def lose(self, caller: Caller) -> None:
         """The connection is closed: what was owed on it is owed no more, releases go another way."""
@@ -196,8 +196,8 @@
         self.without_calls.pop(caller.ident, None)
         for ident in list(caller.unanswered):
             self.core.counters["callers_vanished"] += 1
-            self.calls.leave(self.calls.by_id[ident])
-        for release in self.writing.unfinished_releases(caller):
+            self.calls.abandon(self.calls.by_id[ident])
+        for release in self.writing.undelivered_releases(caller):
             self.end_notices.send(0, release)
 
     def close_if_finished(self, caller: Caller) -> None:
--- a/latchturn/session/calls.py
+++ b/latchturn/session/calls.py
@@ -29,14 +29,14 @@
         deadline = max(deadline, self.core.now)
         call = self.by_id[set_up.call] = Call(set_up, caller.ident, deadline)
         caller.unanswered.add(set_up.call)
-        self.core.note(TraceEvent.CALL_TAKEN, call=set_up.call, stream=caller.ident)
+        self.core.record(TraceEvent.CALL_TAKEN, call=set_up.call, stream=caller.ident)
         self.ended.pop(set_up.call, None)
         call.timer = self.timers.set(deadline + DEADLINE_OVERRUN_US - self.core.now, TimerKind.DEADLINE, call)
         figures = set_up.figures
         self.core.events.append(
             i.CallOffered(
                 call=set_up.call,
-                class_index=self.classes.by_name[settings_word(set_up.class_name)],
+                class_index=self.classes.index_by_name[settings_word(set_up.class_name)],
                 destination=figures["dest"],
                 called_number=int(set_up.called, 16),
                 width=figures["width"],
@@ -47,30 +47,30 @@
             )
         )
 
-    def final(self, ident: int, message: Answer | Release) -> None:
+    def send_final_answer(self, ident: int, message: Answer | Release) -> None:
         """Give a call its one final answer."""
         call = self.by_id.get(ident)
         if call is None or call.standing_exchange is not None:
             return
         caller = self.callers.by_stream[call.caller_stream]
         caller.unanswered.discard(ident)
-        self.timers.drop(call.timer)
+        self.timers.cancel(call.timer)
         if isinstance(message, Answer):
-            self.classes.count("succeeded", call.set_up.class_name)
+            self.classes.count_outcome("succeeded", call.set_up.class_name)
             caller.trust = 2
         else:
             refused = message.cause == ReleaseCause.CONGESTION
-            self.classes.count("declined" if refused else "aborted", call.set_up.class_name)
+            self.classes.count_outcome("declined" if refused else "aborted", call.set_up.class_name)
             self.forget(call, answered=True)
         self.writing.queue(caller, message)
 
     def fail(self, call: Call, why: str) -> None:
         """Fail a call over the module's head, cleanly towards all sides."""
-        self.core.note(TraceEvent.CALL_FAILED, call=call.ident, stream=call.caller_stream, reason=why)
-        self.final(call.ident, Release(call.ident, ReleaseCause.TEMPORARY_FAILURE))
-        self.leave(call)
+        self.core.record(TraceEvent.CALL_FAILED, call=call.ident, stream=call.caller_stream, reason=why)
+        self.send_final_answer(call.ident, Release(call.ident, ReleaseCause.TEMPORARY_FAILURE))
+        self.abandon(call)
 
-    def leave(self, call: Call) -> None:
+    def abandon(self, call: Call) -> None:
         """Nothing is owed to the caller any more: tell the module, and give up what is out."""
         self.forget(call)
         events = self.core.events
@@ -90,14 +90,14 @@
         if self.by_id.pop(call.ident, None) is None:
             return
         call.state = CALL.go(call.state, CallMove.FORGET)
-        self.timers.drop(call.timer)
+        self.timers.cancel(call.timer)
         if call.caller_stream in self.callers.by_stream:
             self.callers.by_stream[call.caller_stream].unanswered.discard(call.ident)
         stood = call.standing_exchange is not None
         self.remember_ended(call.ident, stood, answered or stood)
-        self.release_unsure(call)
+        self.release_maybe_standing(call)
 
-    def release_unsure(self, call: Call) -> None:
+    def release_maybe_standing(self, call: Call) -> None:
         """Guards the circuits of exchanges, and callers who are told of an end of what they had no answer for: a
         connection that breaks gives up its set-ups, but not one that was answered just before. A release under the
         id would also end a later attempt there, so it leaves once there can be none, and not where the call stands."""
@@ -110,7 +110,7 @@
         self.ended.pop(ident, None)
         self.ended[ident] = EndedCall(self.core.now + ENDED_CALL_TTL_US, stood, answered)
 
-    def remember_answered(self, ident: int) -> None:
+    def remember_rejected(self, ident: int) -> None:
         """Guards against a second answer under the id of a set-up that was turned down as it came. Not while
         a flood has filled what is remembered."""
         if ident and len(self.ended) < MAX_REMEMBERED_IDS:
@@ -123,7 +123,7 @@
         self.exchanges.by_id[at].standing_calls.discard(call.ident)
         self.forget(call)
         self.core.counters[f"calls_{outcome.name.lower()}"] += 1
-        self.core.note(TraceEvent.CALL_ENDED, call=call.ident, exchange=at, reason=outcome.name)
+        self.core.record(TraceEvent.CALL_ENDED, call=call.ident, exchange=at, reason=outcome.name)
         self.core.events.append(
             i.AttemptEnded(
                 call.ident,
@@ -136,47 +136,47 @@
             )
         )
 
-    def cut(self, exchange: Exchange, before_us: int, why: str) -> None:
+    def cut_off(self, exchange: Exchange, before_us: int, why: str) -> None:
         """The calls that stood at an exchange before a moment are over, though it cannot say so."""
-        self._cut(exchange, self.stood_before(exchange, before_us), why)
+        self._cut_off(exchange, self.standing_before(exchange, before_us), why)
 
-    def stood_before(self, exchange: Exchange, before_us: int) -> list[Call]:
+    def standing_before(self, exchange: Exchange, before_us: int) -> list[Call]:
         """The calls that stood at an exchange before a moment, by id."""
         calls = (self.by_id[ident] for ident in sorted(exchange.standing_calls))
         return [call for call in calls if call.standing_since_us < before_us]
 
-    def end_unheard(self, exchange: Exchange, calls: list[Call], why: str) -> None:
+    def presume_ended(self, exchange: Exchange, calls: list[Call], why: str) -> None:
         """Calls are taken to be over without a word from their exchange; should they go on there, it is told too."""
-        self._cut(exchange, calls, why)
+        self._cut_off(exchange, calls, why)
         for call in calls:
             self.exchanges.release(exchange, Release(call.ident, ReleaseCause.NORMAL))
 
-    def _cut(self, exchange: Exchange, calls: list[Call], why: str) -> None:
+    def _cut_off(self, exchange: Exchange, calls: list[Call], why: str) -> None:
         if calls:
-            self.note_cut(exchange, calls, why)
+            self.record_cut_off(exchange, calls, why)
         for call in calls:
             self.end_standing(call, i.Outcome.CUT)
             self.end_notices.send(call.caller_stream, Release(call.ident, ReleaseCause.TEMPORARY_FAILURE))
 
-    def note_cut(self, exchange: Exchange, cut: list[Call], why: str) -> None:
+    def record_cut_off(self, exchange: Exchange, cut: list[Call], why: str) -> None:
         """Record which calls are over with their exchange; the log names the first of them."""
         shown = " ".join(f"{call.ident:016x}" for call in cut[:MAX_LOGGED_CALL_IDS])
         quiet_ms = (self.core.now - exchange.last_received_us) // 1000
         text = f"{why}, last heard {quiet_ms} ms ago: {len(cut)} standing calls are over: {shown}"
-        self.core.note(TraceEvent.EXCHANGE_DEAD, exchange=exchange.ident, reason=text)
+        self.core.record(TraceEvent.EXCHANGE_DEAD, exchange=exchange.ident, reason=text)
 
-    def told_over(self, call: Call, cause: int) -> None:
+    def end_by_caller(self, call: Call, cause: int) -> None:
         """The caller gives a call up, or ends it if it stands."""
         if call.standing_exchange is None:
             self.core.counters["callers_gave_up"] += 1
-            self.core.note(TraceEvent.CALL_ABANDONED, call=call.ident, stream=call.caller_stream)
-            self.leave(call)
+            self.core.record(TraceEvent.CALL_ABANDONED, call=call.ident, stream=call.caller_stream)
+            self.abandon(call)
         else:
             exchange = self.exchanges.by_id[call.standing_exchange]
             self.end_standing(call, i.Outcome.CANCELLED)
             self.exchanges.release(exchange, Release(call.ident, cause))
 
-    def inherit(self, ident: int, exchange: int) -> None:
+    def add_inherited(self, ident: int, exchange: int) -> None:
         """Enter a call that stood in the process before this one. The module does not know it: the told free
         circuits are without its own."""
         if exchange in self.exchanges.by_id and ident not in self.by_id and ident not in self.ended:
--- a/latchturn/session/channel.py
+++ b/latchturn/session/channel.py
@@ -38,7 +38,7 @@
         self.times_asked += 1
         self.answers = False
         self.last_received_us = self.core.now
-        self.core.note(TraceEvent.CHANNEL_ASKED, reason=f"{channel[0]}:{channel[1]} after event {self.cursor}")
+        self.core.record(TraceEvent.CHANNEL_ASKED, reason=f"{channel[0]}:{channel[1]} after event {self.cursor}")
         timeout_us = self._grown(CHANNEL_CONNECT_TIMEOUT_US, CHANNEL_CONNECT_TIMEOUT_MAX_US)
         self.core.effects.append(ConnectChannel(channel, self.cursor, timeout_us))
 
@@ -59,7 +59,7 @@
     def heard(self, number: int) -> None:
         """A frame has come, empty or not."""
         if not self.answers:
-            self.core.note(TraceEvent.CHANNEL_TOLD, reason=f"event {number}, after {self.lost} that told nothing")
+            self.core.record(TraceEvent.CHANNEL_TOLD, reason=f"event {number}, after {self.lost} that told nothing")
         self.answers, self.lost, self.last_received_us = True, 0, self.core.now
 
     def check(self) -> None:
@@ -67,14 +67,14 @@
         if self.core.now - self.last_received_us <= self._grown(CHANNEL_SILENCE_US, CHANNEL_SILENCE_MAX_US):
             return
         self.core.counters["channel_silent"] += 1
-        self.core.note(TraceEvent.CHANNEL_LOST, reason=f"silent; {self.lost} before it told nothing")
+        self.core.record(TraceEvent.CHANNEL_LOST, reason=f"silent; {self.lost} before it told nothing")
         self.lost += not self.answers
         self.follow(self.address)
 
     def ended(self, reason: str) -> None:
         """The connection is no more. The first new one is asked for at once."""
         self.core.counters["channel_reconnects"] += 1
-        self.core.note(TraceEvent.CHANNEL_LOST, reason=f"{reason}; {self.lost} before it told nothing")
+        self.core.record(TraceEvent.CHANNEL_LOST, reason=f"{reason}; {self.lost} before it told nothing")
         pause = CHANNEL_RECONNECT_PAUSE_US if self.lost else 0
         self.lost += 1
         self.timers.set(int(pause * self.core.random.uniform(0.5, 1.0)), TimerKind.CHANNEL, self.times_asked)
--- a/latchturn/session/core.py
+++ b/latchturn/session/core.py
@@ -13,9 +13,9 @@
 class Core:
     """The moment, the effects asked for in this step, the events for the module, counters and trace."""
 
-    def __init__(self, seed: int, sockets: int) -> None:
+    def __init__(self, seed: int, socket_limit: int) -> None:
         self.now = 0
-        self.sockets = sockets  # descriptors that the process may hold
+        self.socket_limit = socket_limit  # descriptors that the process may hold
         self.effects: list[Effect] = []
         self.events: deque[i.Event] = deque()  # on their way to the module
         self.counters: Counter[str] = Counter()
@@ -25,7 +25,7 @@
     def log(self, text: str) -> None:
         self.effects.append(Log(text))
 
-    def note(self, event: TraceEvent, *, call: int = 0, exchange: int = 0, stream: int = 0, reason: str = "") -> None:
+    def record(self, event: TraceEvent, *, call: int = 0, exchange: int = 0, stream: int = 0, reason: str = "") -> None:
         """Record a state change; those that are few are log lines too."""
         record = TraceRecord(self.now, event, call, exchange, stream, reason)
         self.trace.records.append(record)
--- a/latchturn/session/decision_module.py
+++ b/latchturn/session/decision_module.py
@@ -21,19 +21,21 @@
             if isinstance(action, i.SendSetup):
                 self.attempts.begin(action)
             elif isinstance(action, i.Refuse):
-                self.note_final(TraceEvent.CALL_REFUSED, action)
+                self.record_final(TraceEvent.CALL_REFUSED, action)
                 stay_ms = -(-action.retry_after_us // 1000)
-                self.calls.final(action.call, Release(action.call, ReleaseCause.CONGESTION, retry_after_ms=stay_ms))
+                self.calls.send_final_answer(
+                    action.call, Release(action.call, ReleaseCause.CONGESTION, retry_after_ms=stay_ms)
+                )
             elif isinstance(action, i.Fail):
-                self.note_final(TraceEvent.CALL_FAILED, action)
-                self.calls.final(action.call, Release(action.call, ReleaseCause.TEMPORARY_FAILURE))
+                self.record_final(TraceEvent.CALL_FAILED, action)
+                self.calls.send_final_answer(action.call, Release(action.call, ReleaseCause.TEMPORARY_FAILURE))
             elif isinstance(action, i.SetTimer):
-                self.timers.set(action.delay_us, TimerKind.MODULE, action.token)
+                self.timers.set(action.delay_us, TimerKind.DECISION_MODULE, action.token)
             elif isinstance(action, i.Log):
                 self.core.log(action.text)
             # SubscribeToList asks for nothing: the command channel is always followed.
 
-    def note_final(self, event: TraceEvent, action: i.Refuse | i.Fail) -> None:
+    def record_final(self, event: TraceEvent, action: i.Refuse | i.Fail) -> None:
         """Record and count why the module turns a call down."""
         self.core.counters[f"{event.name.lower()}.{action.reason.name.lower()}"] += 1
-        self.core.note(event, call=action.call, reason=action.reason.value)
+        self.core.record(event, call=action.call, reason=action.reason.value)
--- a/latchturn/session/end_notices.py
+++ b/latchturn/session/end_notices.py
@@ -36,15 +36,15 @@
         self.core.counters["releases_to_callers"] += 1
         caller = self.callers.by_stream.get(preferred)
         if caller is None or caller.finishing:
-            caller = self.best()
+            caller = self.best_caller()
         over = self.calls.ended.get(release.call)
         # One that has been told on connections which closed since has waited long enough already.
         urgent = over is not None and self.core.now - (over.remembered_until_us - ENDED_CALL_TTL_US) >= RELEASE_HOLD_US
         if caller is None or not (caller.trust or urgent):
-            self.core.note(TraceEvent.RELEASE_HELD, call=release.call)
+            self.core.record(TraceEvent.RELEASE_HELD, call=release.call)
             self.held.append((self.core.now + CALLER_RELEASE_TTL_US, release))
         else:
-            self.core.note(TraceEvent.RELEASE_SENT, call=release.call, stream=caller.ident)
+            self.core.record(TraceEvent.RELEASE_SENT, call=release.call, stream=caller.ident)
             self.writing.queue(caller, release)
 
     def send_again(self, caller: Caller) -> None:
@@ -53,11 +53,11 @@
         stuck = self.is_stuck(caller)
         if not (stuck or caller.unconfirmed):  # so that a sweep looks at each connection once
             return
-        other = self.other_than(caller)
+        other = self.best_other(caller)
         if other is None:
             return
         if stuck:
-            self.send_stuck_ends(caller, other)
+            self.redirect_stuck_ends(caller, other)
         unheard = [k for k, (at, _) in caller.unconfirmed.items() if at <= self.core.now - CONFIRMATION_TIMEOUT_US]
         for ident in unheard:
             _, release = caller.unconfirmed.pop(ident)
@@ -71,7 +71,7 @@
         """Whether a write on a connection takes so long that its peer seems to take nothing in."""
         return bool(caller.in_flight) and self.core.now - caller.write_started_us > CONFIRMATION_TIMEOUT_US
 
-    def send_stuck_ends(self, caller: Caller, other: Caller) -> None:
+    def redirect_stuck_ends(self, caller: Caller, other: Caller) -> None:
         """Send the ends of calls that wait on a stuck connection another way: they are owed within 1 s."""
         stuck = [] if caller.ends_resent else [m for m in caller.in_flight if self._is_end(m)]
         waiting = [m for m in caller.outbox if self._is_end(m)]
@@ -86,12 +86,12 @@
         over = self.calls.ended.get(message.call) if isinstance(message, Release) else None
         return over is not None and over.stood
 
-    def other_than(self, caller: Caller) -> Caller | None:
+    def best_other(self, caller: Caller) -> Caller | None:
         """The best other connection, None if there is none that takes what is written."""
-        other = self.best(caller)
+        other = self.best_caller(caller)
         return None if other is None or self.is_stuck(other) else other
 
-    def best(self, but: Caller | None = None) -> Caller | None:
+    def best_caller(self, but: Caller | None = None) -> Caller | None:
         open_ = [c for c in self.callers.by_stream.values() if not c.finishing and c is not but]
         return max(open_, key=lambda c: (not self.is_stuck(c), c.trust, c.last_active_us)) if open_ else None
 
@@ -107,6 +107,6 @@
         if not self.held:
             return
         held_since_us = self.held[0][0] - CALLER_RELEASE_TTL_US
-        best = self.best()
+        best = self.best_caller()
         if best is not None and self.core.now - held_since_us > RELEASE_HOLD_US:
             self.send_held(best)
--- a/latchturn/session/exchanges.py
+++ b/latchturn/session/exchanges.py
@@ -72,9 +72,9 @@
                     last_alive_us=self.core.now,
                 )  # fmt: skip
             told.append(entry)
-            self.core.note(TraceEvent.EXCHANGE_LISTED, exchange=entry.exchange, reason=entry.state.name)
+            self.core.record(TraceEvent.EXCHANGE_LISTED, exchange=entry.exchange, reason=entry.state.name)
             if entry.started_us > known.started_us:
-                self.calls.cut(known, entry.started_us, "has started anew")
+                self.calls.cut_off(known, entry.started_us, "has started anew")
             known.state, known.started_us = entry.state, entry.started_us
             if entry.state is i.ListState.READY:
                 known.refusing_since_us = 0
@@ -92,7 +92,7 @@
         self.core.events.append(i.ExchangeList(update.kind, told))
         for exchange in list(self.by_id.values()):
             if exchange.state is i.ListState.GONE:
-                self.calls.cut(exchange, self.core.now + 1, "is gone")
+                self.calls.cut_off(exchange, self.core.now + 1, "is gone")
                 for link in list(exchange.links.values()):
                     self.writing.drop(link, CloseReason.EXCHANGE_GONE)
                 # Guards the memory and the descriptors kept for exchanges: on long days they come and go.
@@ -138,7 +138,7 @@
             attempt = None
         if isinstance(message, Answer) and self.is_spliced(exchange, link, message):
             self.core.counters["garbled"] += 1
-            self.writing.peer_done(link.ident, CloseReason.GARBLED)
+            self.writing.input_ended(link.ident, CloseReason.GARBLED)
         elif isinstance(message, Answer):
             self.answered(exchange, link, message, attempt)
         elif isinstance(message, Release):
@@ -156,7 +156,7 @@
         elif not isinstance(message, Progress):
             # No exchange sends it: a message came spoilt, and what is behind it is lost.
             self.core.counters["garbled"] += 1
-            self.writing.peer_done(link.ident, CloseReason.GARBLED)
+            self.writing.input_ended(link.ident, CloseReason.GARBLED)
 
     @staticmethod
     def is_spliced(exchange: Exchange, link: Link, answer: Answer) -> bool:
@@ -199,13 +199,13 @@
                 self.writing.queue(link, Release(answer.call, ReleaseCause.NORMAL))
             return
         call = attempt.call
-        self.attempts.give_back(attempt)
+        self.attempts.detach(attempt)
         self.core.counters["attempts_answered"] += 1
-        self.core.note(TraceEvent.CALL_ANSWERED, call=call.ident, exchange=exchange.ident, stream=call.caller_stream)
-        self.calls.final(call.ident, Answer(call.ident, answer.description))
+        self.core.record(TraceEvent.CALL_ANSWERED, call=call.ident, exchange=exchange.ident, stream=call.caller_stream)
+        self.calls.send_final_answer(call.ident, Answer(call.ident, answer.description))
         call.state = CALL.go(call.state, CallMove.ANSWER)
         call.standing_exchange, call.standing_since_us, call.answer_link = exchange.ident, self.core.now, link.ident
-        self.calls.release_unsure(call)
+        self.calls.release_maybe_standing(call)
         exchange.standing_calls.add(call.ident)
         self.core.events.append(
             i.CallAnswered(call.ident, attempt.number, exchange.ident, self.core.now - attempt.started_us)
--- a/latchturn/session/housekeeping.py
+++ b/latchturn/session/housekeeping.py
@@ -61,7 +61,7 @@
         """Send what is not confirmed another way, and forget what has arrived for all that is known."""
         if isinstance(stream, Caller):
             self.end_notices.send_again(stream)
-        for ident in self.writing.settled_releases(stream):
+        for ident in self.writing.presumed_delivered(stream):
             del stream.unconfirmed[ident]
 
     def _check_write(self, stream: Stream) -> None:
@@ -103,8 +103,8 @@
 
     def _end_old_settings(self) -> None:
         """The classes of the settings before count no more once their callers have given up."""
-        if self.classes.before and self.core.now > self.classes.before_until_us:
-            self.classes.use(self.classes.read, None)
+        if self.classes.previous and self.core.now > self.classes.previous_until_us:
+            self.classes.apply(self.classes.configured, None)
             self.core.events.append(i.SettingsChanged(self.classes.settings))
 
     def _forget(self) -> None:
--- a/latchturn/session/inputs_and_effects.py
+++ b/latchturn/session/inputs_and_effects.py
@@ -31,7 +31,7 @@
 
     known: tuple[ListUpdate, ...]
     channel: tuple[str, int]
-    sockets: int
+    socket_limit: int
     settings: i.Settings
 
 
--- a/latchturn/session/links.py
+++ b/latchturn/session/links.py
@@ -57,7 +57,7 @@
         began = half and not link.partial_since_us
         link.partial_since_us = (link.partial_since_us or self.core.now) if half else 0
         if began:
-            self.timers.set(LINK_PARTIAL_TIMEOUT_US, TimerKind.HALF_READ, link)
+            self.timers.set(LINK_PARTIAL_TIMEOUT_US, TimerKind.PARTIAL_MESSAGE, link)
 
     def half_read_long(self, link: Link) -> None:
         """Guards the set-ups that would follow onto a link on which nothing more can be read."""
@@ -66,7 +66,7 @@
             self.core.counters["links_half_read"] += 1
             self.writing.drop(link, CloseReason.HALF_READ)
         else:
-            self.timers.set(left, TimerKind.HALF_READ, link)
+            self.timers.set(left, TimerKind.PARTIAL_MESSAGE, link)
 
     def connected(self, stream: int) -> None:
         link = self.by_stream.get(stream)
@@ -74,14 +74,14 @@
             self.core.effects.append(Close(stream))
             return
         link.move(StreamMove.CONNECTED)
-        self.core.note(TraceEvent.LINK_UP, exchange=link.exchange_id, stream=stream)
+        self.core.record(TraceEvent.LINK_UP, exchange=link.exchange_id, stream=stream)
         link.up_since_us = self.core.now
         exchange = self.exchanges.by_id[link.exchange_id]
         self.liveness.connected(exchange)
         unsent, exchange.unsent_releases = exchange.unsent_releases, []
         for _, release in unsent:
             self.writing.queue(link, release)
-        self.writing.ready[link.ident] = link
+        self.writing.pending[link.ident] = link
         self.keep(exchange)
 
     def connect_failed(self, stream: int, refused: bool) -> None:
@@ -90,7 +90,7 @@
             return
         self.core.counters["connects_refused" if refused else "connects_timed_out"] += 1
         exchange = self.exchanges.by_id[link.exchange_id]
-        self.writing.note_closed(link, CloseReason.CONNECT_REFUSED if refused else CloseReason.CONNECT_FAILED)
+        self.writing.record_close(link, CloseReason.CONNECT_REFUSED if refused else CloseReason.CONNECT_FAILED)
         self.lose(link, CloseReason.CONNECT_FAILED)
         self.liveness.connect_failed(exchange, link, refused)
 
@@ -118,7 +118,7 @@
             else:
                 attempt.call.maybe_standing_at.add(exchange.ident)
                 self.attempts.end(attempt, i.Outcome.TIMED_OUT if attempt.giving_up else i.Outcome.CUT)
-        for release in self.writing.unfinished_releases(link):
+        for release in self.writing.undelivered_releases(link):
             self.exchanges.release(exchange, release)
         if link.up_since_us:
             self.missed_ends.link_lost(exchange, link, reason)
--- a/latchturn/session/liveness.py
+++ b/latchturn/session/liveness.py
@@ -57,7 +57,7 @@
         exchange.last_alive_us, exchange.outage_since_us = self.core.now, 0
         if exchange.quiet_noted:
             exchange.quiet_noted = False
-            self.core.note(TraceEvent.EXCHANGE_HEARD, exchange=exchange.ident)
+            self.core.record(TraceEvent.EXCHANGE_HEARD, exchange=exchange.ident)
 
     def connect_failed(self, exchange: Exchange, link: Link, refused: bool) -> None:
         """A link did not come up."""
@@ -76,7 +76,7 @@
             return
         # A link broke and nothing listens: the process has died, and its calls with it. Guards against
         # waiting for links on which nothing was under way: those of a dead process may stay silent.
-        self.calls.cut(exchange, self.core.now + 1, "refuses connections")
+        self.calls.cut_off(exchange, self.core.now + 1, "refuses connections")
         for other in idle:
             self.writing.drop(other, CloseReason.EXCHANGE_DEAD)
 
@@ -105,7 +105,7 @@
         if exchange.state is not i.ListState.READY or not together or others:
             return
         if busy:
-            self.calls.cut(exchange, self.core.now + 1, "reset all its links at once")
+            self.calls.cut_off(exchange, self.core.now + 1, "reset all its links at once")
             return
         # Another machine may have the address of one that vanished, and reset what it does not know.
         if not exchange.all_links_reset_us:
@@ -125,8 +125,8 @@
             exchange.all_links_reset_us = 0
             return
         if exchange.all_links_reset_us and self.core.now - exchange.received_before_reset_us >= SILENCE_LIMIT_US:
-            calls = self.calls.stood_before(exchange, exchange.all_links_reset_us)
-            self.calls.end_unheard(exchange, calls, "reset all its links after a silence, and has told no end since")
+            calls = self.calls.standing_before(exchange, exchange.all_links_reset_us)
+            self.calls.presume_ended(exchange, calls, "reset all its links after a silence, and has told no end since")
             exchange.all_links_reset_us = 0
         silent_us = self.core.now - exchange.last_alive_us
         if silent_us >= SILENCE_LIMIT_US:
@@ -135,7 +135,7 @@
             exchange.refusing_since_us
             and self.core.now - max(exchange.refusing_since_us, exchange.last_alive_us) > DRAINED_AFTER_US
         ):
-            self.calls.cut(exchange, self.core.now + 1, "has drained and refused links")
+            self.calls.cut_off(exchange, self.core.now + 1, "has drained and refused links")
         elif silent_us >= PROBE_AFTER_US and self.core.now - exchange.last_probe_us >= PROBE_INTERVAL_US:
             self._probe(exchange)
 
@@ -144,15 +144,15 @@
         if exchange.outage_since_us and exchange.last_received_us >= exchange.outage_since_us:
             self._lost_track(exchange, "answers again on new links alone")
             return
-        standing = self.calls.stood_before(exchange, self.core.now + 1)
+        standing = self.calls.standing_before(exchange, self.core.now + 1)
         for link in list(exchange.links.values()):
             if link.up and not link.attempts:
                 self.writing.drop(link, CloseReason.SILENT)
-        self.calls.end_unheard(exchange, standing, "is silent")
+        self.calls.presume_ended(exchange, standing, "is silent")
 
     def _lost_track(self, exchange: Exchange, why: str) -> None:
         """The process that answers now may be another: calls from before its first link are over."""
-        self.calls.end_unheard(exchange, self.calls.stood_before(exchange, exchange.outage_since_us), why)
+        self.calls.presume_ended(exchange, self.calls.standing_before(exchange, exchange.outage_since_us), why)
         self._prove(exchange)
 
     def suspect(self, exchange: Exchange) -> None:
@@ -168,7 +168,7 @@
             exchange.quiet_noted = True
             silent_ms = (self.core.now - exchange.last_alive_us) // 1000
             reason = f"{len(exchange.standing_calls)} calls stand, nothing heard for {silent_ms} ms"
-            self.core.note(TraceEvent.EXCHANGE_QUIET, exchange=exchange.ident, reason=reason)
+            self.core.record(TraceEvent.EXCHANGE_QUIET, exchange=exchange.ident, reason=reason)
         self.open_link(exchange, may_close=True, unheard_us=SILENT_LINK_WAIT_US)
 
     def open_link(self, exchange: Exchange, may_close: bool = False, unheard_us: float = math.inf) -> bool:
--- a/latchturn/session/missed_ends.py
+++ b/latchturn/session/missed_ends.py
@@ -68,7 +68,7 @@
             call for call in self.stranded(exchange) if call.end_missed_since_us <= exchange.initial_messages_lost_us
         ]
         missed = [call for call in suspected if call.end_missed_since_us <= due_us]
-        self.calls.end_unheard(exchange, missed, "may have been told over on links that are dead")
+        self.calls.presume_ended(exchange, missed, "may have been told over on links that are dead")
         if not exchange.recovery_due_us or self.core.now < exchange.recovery_due_us:
             return
         if not self._may_have_untold_ends(exchange):
--- a/latchturn/session/phases.py
+++ b/latchturn/session/phases.py
@@ -67,7 +67,7 @@
         open_ = sum(call.standing_exchange is None for call in self.calls.by_id.values())
         text = f"{before.name} to {self.state.name} by {move.name}: {len(self.callers.by_stream)} connections"
         text += f", {open_} calls open, {len(self.calls.by_id) - open_} stand"
-        self.core.note(TraceEvent.PHASE, reason=text)
+        self.core.record(TraceEvent.PHASE, reason=text)
 
     def finished(self) -> bool:
         """After SIGTERM: whether all that was taken is answered, and nothing new can come in."""
@@ -82,7 +82,7 @@
 
     def figures(self) -> dict[str, int]:
         """Every figure as it is now: those of the operators' table, then the other counters."""
-        names = [operations.by_class(n, c) for c in self.classes.served for n in operations.BY_CLASS]
+        names = [operations.by_class(n, c) for c in self.classes.known_names for n in operations.BY_CLASS]
         counted = ("forwards", "sighup_applied", "sighup_rejected")
         figures = {name: self.core.counters[name] for name in (*names, *counted)}
         # Those that stand too: they have not ended. Two processes are one session controller.
@@ -194,9 +194,9 @@
 
     def longest_wait_us(self) -> int:
         """The longest wait of a caller, by which SIGKILL may come; the lesser one if settings have changed lately."""
-        waits = [max(c.give_up_us for c in self.classes.read.classes)]
-        if self.classes.before:
-            waits.append(max(c.give_up_us for c in self.classes.before.values()))
+        waits = [max(c.give_up_us for c in self.classes.configured.classes)]
+        if self.classes.previous:
+            waits.append(max(c.give_up_us for c in self.classes.previous.values()))
         return min(waits)
 
     def term_due(self) -> None:
--- a/latchturn/session/reducer.py
+++ b/latchturn/session/reducer.py
@@ -65,8 +65,8 @@
 class Session(Component):
     """The state of one session controller."""
 
-    def __init__(self, settings: i.Settings, seed: int, sockets: int) -> None:
-        self.core = Core(seed, sockets)
+    def __init__(self, settings: i.Settings, seed: int, socket_limit: int) -> None:
+        self.core = Core(seed, socket_limit)
         self.timers = Timers()
         self.classes = Classes(settings)
         self.decision_module = DecisionModule(settings, seed)
@@ -86,18 +86,18 @@
         for component in components.values():
             if isinstance(component, Component):
                 component.connect_components(components)
-        self.classes.use(settings, None)
+        self.classes.apply(settings, None)
 
-    def step(self, now_us: int, happened: Input) -> list[Effect]:
+    def step(self, now_us: int, input_: Input) -> list[Effect]:
         """Take in one input; the effects are to be run in their order."""
         self.core.now = max(self.core.now, now_us)  # guards the module against a clock that is set back
         self.core.effects = []
         try:
-            self._take(happened)
+            self._dispatch(input_)
         except Exception:  # noqa: BLE001
-            self._met_fault(happened.message.call if isinstance(happened, MessageReceived) else 0)
+            self._handle_fault(input_.message.call if isinstance(input_, MessageReceived) else 0)
         self._run_timers()
-        self._settle()
+        self._process_pending()
         if self.phases.replaces or self.phases.term_us:
             self.phases.go_on()
         return self.core.effects
@@ -106,46 +106,46 @@
         """When the next timer is due."""
         return self.timers.heap[0][0] if self.timers.heap else None
 
-    def _met_fault(self, call: int) -> None:
+    def _handle_fault(self, call: int) -> None:
         """Guards against faults of our own: one event's fault must not end the others' calls."""
-        self._fault(call)
+        self._log_fault(call)
         if call in self.calls.by_id and self.calls.by_id[call].standing_exchange is None:
             try:
                 self.calls.fail(self.calls.by_id[call], "a fault of the program")
             except Exception:  # noqa: BLE001
-                self._fault(call)
+                self._log_fault(call)
 
-    def _fault(self, call: int) -> None:
+    def _log_fault(self, call: int) -> None:
         self.core.counters["errors"] += 1
         self.core.log(f"fault, call {call:016x}: {traceback.format_exc()}")
 
-    def _take(self, happened: Input) -> None:
-        match happened:
+    def _dispatch(self, input_: Input) -> None:
+        match input_:
             case MessageReceived(stream, message, waited_us):
                 if stream in self.links.by_stream:
                     self.exchanges.heard(self.links.by_stream[stream], message)
                 elif stream in self.callers.by_stream:
-                    self.callers.heard(self.callers.by_stream[stream], message, waited_us)
+                    self.callers.receive(self.callers.by_stream[stream], message, waited_us)
             case WriteCompleted(stream):
-                self.writing.wrote(stream)
+                self.writing.write_completed(stream)
             case Tick():
                 pass
             case Accepted(stream):
-                self.callers.accepted(stream)
+                self.callers.accept(stream)
             case MalformedInput(stream, reason):
                 self.core.counters["garbled"] += 1
                 if stream in self.callers.by_stream:
                     self.callers.shut(self.callers.by_stream[stream], reason)
                 else:
                     self.core.log(f"link {stream} sent what cannot be read: {reason}")
-                    self.writing.peer_done(stream, CloseReason.GARBLED)
+                    self.writing.input_ended(stream, CloseReason.GARBLED)
             case PartialMessage(stream, half):
                 if stream in self.links.by_stream:
                     self.links.half_read(self.links.by_stream[stream], half)
                 elif stream in self.callers.by_stream:
-                    self.callers.half_read(self.callers.by_stream[stream], half)
+                    self.callers.set_partial(self.callers.by_stream[stream], half)
             case EndOfInput(stream):
-                self.writing.peer_done(stream)
+                self.writing.input_ended(stream)
             case ConnectionClosed(stream):
                 self.writing.peer_reset(stream)
             case Connected(stream):
@@ -165,10 +165,10 @@
                 self.phases.other_holds, self.phases.other_calls = descriptors, calls
                 self.callers.make_room()
             case CallInherited(call, exchange):
-                self.calls.inherit(call, exchange)
+                self.calls.add_inherited(call, exchange)
             case ReleaseForwarded(call, cause):
                 if call in self.calls.by_id:
-                    self.calls.told_over(self.calls.by_id[call], cause)
+                    self.calls.end_by_caller(self.calls.by_id[call], cause)
             case SuccessorChanged(serves):
                 self.phases.hand_over(serves)
             case ConfigRejected(reason):
@@ -178,8 +178,8 @@
                 self.phases.replaces = replaces
                 self.phases.started(known, cursor)
                 self.channel.follow(channel)
-            case Reconfigured(known, channel, sockets, settings):
-                self._reconfigure(known, channel, sockets, settings)
+            case Reconfigured(known, channel, socket_limit, settings):
+                self._reconfigure(known, channel, socket_limit, settings)
             case Terminate():
                 self.phases.terminate()
 
@@ -187,48 +187,48 @@
         self,
         known: tuple[ListUpdate, ...],
         channel: tuple[str, int],
-        sockets: int,
+        socket_limit: int,
         settings: i.Settings,
     ) -> None:
         # The events of the file that are not known yet count; its whole list of the start is old.
         for event in known:
             self.exchanges.list_told(event)
-        self.core.sockets = sockets
-        if settings != self.classes.read:
-            self.classes.use(settings, self.classes.settings)
+        self.core.socket_limit = socket_limit
+        if settings != self.classes.configured:
+            self.classes.apply(settings, self.classes.settings)
             self.core.events.append(i.SettingsChanged(self.classes.settings))
             self.core.log("new settings: classes " + ", ".join(c.name for c in settings.classes))
         self.core.counters["sighup_applied"] += 1
-        self.core.log(f"new configuration: command channel {channel[0]}:{channel[1]}, {sockets} sockets")
+        self.core.log(f"new configuration: command channel {channel[0]}:{channel[1]}, {socket_limit} sockets")
         self.channel.move(channel)
 
-    def _settle(self) -> None:
+    def _process_pending(self) -> None:
         """Let the module answer all that came up, then write."""
-        while self.core.events or self.writing.ready:
+        while self.core.events or self.writing.pending:
             if self.core.events:
                 event = self.core.events.popleft()
                 try:
                     self.decision_module.decide(event)
                 except Exception:  # noqa: BLE001
-                    self._met_fault(getattr(event, "call", 0))
+                    self._handle_fault(getattr(event, "call", 0))
             else:
-                _, stream = self.writing.ready.popitem()
+                _, stream = self.writing.pending.popitem()
                 try:
                     self.writing.flush(stream)
                 except Exception:  # noqa: BLE001
-                    self._met_fault(0)
+                    self._handle_fault(0)
 
     def _run_timers(self) -> None:
         while self.timers.heap and self.timers.heap[0][0] <= self.core.now:
             _, _, timer = heapq.heappop(self.timers.heap)
             try:
-                self._due(timer.kind, timer.what)
+                self._timer_due(timer.kind, timer.subject)
             except Exception:  # noqa: BLE001
-                self._met_fault(0)
-            self._settle()  # what the module answers to one timer may end what the next is about
+                self._handle_fault(0)
+            self._process_pending()  # what the module answers to one timer may end what the next is about
 
-    def _due(self, kind: TimerKind, what: object) -> None:
-        if kind is TimerKind.MODULE and isinstance(what, int):
+    def _timer_due(self, kind: TimerKind, what: object) -> None:
+        if kind is TimerKind.DECISION_MODULE and isinstance(what, int):
             self.core.events.append(i.TimerDue(what))
         elif kind is TimerKind.DEADLINE and isinstance(what, Call):
             if self.calls.by_id.get(what.ident) is what and what.standing_exchange is None:
@@ -240,7 +240,7 @@
         elif kind is TimerKind.GIVE_UP and isinstance(what, Attempt):
             if what.call.attempt is what:
                 self.writing.drop(what.link, CloseReason.GIVE_UP_STUCK)
-        elif kind is TimerKind.HALF_READ and isinstance(what, Link):
+        elif kind is TimerKind.PARTIAL_MESSAGE and isinstance(what, Link):
             if self.links.by_stream.get(what.ident) is what and what.partial_since_us:
                 self.links.half_read_long(what)
         elif kind is TimerKind.RECONNECT and isinstance(what, Exchange):
--- a/latchturn/session/timers.py
+++ b/latchturn/session/timers.py
@@ -11,19 +11,19 @@
 
 @dataclass(slots=True, eq=False)
 class Timer:
-    """`what` None: it was withdrawn, and nothing hangs on it any more."""
+    """`subject` None: it was withdrawn, and nothing hangs on it any more."""
 
     kind: TimerKind
-    what: object
+    subject: object
 
 
 class TimerKind(Enum):
-    MODULE = auto()  # a token of the module's
+    DECISION_MODULE = auto()  # a token of the module's
     DEADLINE = auto()  # of a call
     ATTEMPT = auto()  # time-out
     GIVE_UP = auto()  # its bytes should have left
     RECONNECT = auto()  # to an exchange
-    HALF_READ = auto()  # a link's message should be whole
+    PARTIAL_MESSAGE = auto()  # a link's message should be whole
     READY = auto()  # what is not told by now is not waited for
     DRAIN = auto()  # idle connections are to be closed
     CHANNEL = auto()  # the command channel is to be asked again
@@ -37,16 +37,16 @@
 
     def __init__(self) -> None:
         self.heap: list[tuple[int, int, Timer]] = []
-        self.count = 0
+        self.sequence = 0
 
-    def set(self, delay_us: int, kind: TimerKind, what: object = None) -> Timer:
-        self.count += 1
-        timer = Timer(kind, what)
-        heapq.heappush(self.heap, (self.core.now + delay_us, self.count, timer))
+    def set(self, delay_us: int, kind: TimerKind, subject: object = None) -> Timer:
+        self.sequence += 1
+        timer = Timer(kind, subject)
+        heapq.heappush(self.heap, (self.core.now + delay_us, self.sequence, timer))
         return timer
 
     @staticmethod
-    def drop(timer: Timer | None) -> None:
+    def cancel(timer: Timer | None) -> None:
         """Guards the memory: a call that is over must not hang on a timer for its whole wait."""
         if timer is not None:
-            timer.what = None
+            timer.subject = None
--- a/latchturn/session/writing.py
+++ b/latchturn/session/writing.py
@@ -16,13 +16,13 @@
     """Writing: what waits for each connection, what leaves now, and what is through."""
 
     def __init__(self) -> None:
-        self.ready: dict[int, Stream] = {}  # streams with something to write
+        self.pending: dict[int, Stream] = {}  # streams with something to write
 
-    def unfinished_releases(self, stream: Caller | Link) -> list[Release]:
+    def undelivered_releases(self, stream: Caller | Link) -> list[Release]:
         """Releases which a closed connection has perhaps not carried, and which still mean something: to a caller
         those of calls that stood, to an exchange those of any call that is over."""
         waiting = [m for m in (*stream.in_flight, *stream.outbox) if isinstance(m, Release)]
-        lately = [m for at, m in stream.unconfirmed.values() if at > self._unproved_since(stream)]
+        lately = [m for at, m in stream.unconfirmed.values() if at > self._unconfirmed_since(stream)]
         releases = {m.call: m for m in (*lately, *waiting)}
         if isinstance(stream, Link):
             for ident in releases.keys() & self.calls.by_id.keys():
@@ -30,22 +30,22 @@
             return [m for ident, m in releases.items() if ident in self.calls.ended]
         return [m for ident, m in releases.items() if ident in self.calls.ended and self.calls.ended[ident].stood]
 
-    def _unproved_since(self, stream: Caller | Link) -> int:
+    def _unconfirmed_since(self, stream: Caller | Link) -> int:
         """What was written later may not have arrived: lately, on a link since it last told anything, and to a caller
         for as long as there is no other connection on which it could be sent again."""
         since = self.core.now - RECENT_WRITE_US
         if isinstance(stream, Link):
             return max(min(since, stream.last_received_us), self.core.now - CALLER_RELEASE_TTL_US)
-        return since if self.end_notices.other_than(stream) else self.core.now - CALLER_RELEASE_TTL_US
+        return since if self.end_notices.best_other(stream) else self.core.now - CALLER_RELEASE_TTL_US
 
-    def settled_releases(self, stream: Caller | Link) -> list[int]:
+    def presumed_delivered(self, stream: Caller | Link) -> list[int]:
         """The calls whose releases on a stream are held to have arrived, though nothing has confirmed them."""
         if not stream.unconfirmed:
             return []
-        since = self._unproved_since(stream)
+        since = self._unconfirmed_since(stream)
         return [call for call, (at, _) in stream.unconfirmed.items() if at <= since]
 
-    def peer_done(self, stream: int, reason: CloseReason = CloseReason.PEER_ENDED) -> None:
+    def input_ended(self, stream: int, reason: CloseReason = CloseReason.PEER_ENDED) -> None:
         """Nothing more comes in on a stream. A caller still gets the answers that it is owed."""
         if stream in self.links.by_stream:
             self.liveness.broken(self.links.by_stream[stream])
@@ -59,18 +59,18 @@
         """A stream is closed and nothing can be written to it any more."""
         if stream in self.links.by_stream:
             link = self.links.by_stream[stream]
-            self.note_closed(link, CloseReason.PEER_RESET)
+            self.record_close(link, CloseReason.PEER_RESET)
             self.liveness.broken(link)
             self.liveness.reset(link)
             self.links.lose(link, CloseReason.PEER_RESET)
         elif stream in self.callers.by_stream:
             caller = self.callers.by_stream[stream]
-            self.note_closed(caller, caller.close_reason or CloseReason.PEER_RESET)
+            self.record_close(caller, caller.close_reason or CloseReason.PEER_RESET)
             self.callers.lose(caller)
 
     def queue(self, stream: Stream, item: Outgoing) -> None:
         stream.outbox.append(item)
-        self.ready[stream.ident] = stream
+        self.pending[stream.ident] = stream
 
     def flush(self, stream: Stream) -> None:
         """Ask for the next write, if none is under way. What is stale by now does not leave."""
@@ -83,7 +83,7 @@
             item = stream.outbox.popleft()
             message: Message | None
             if isinstance(item, Attempt):
-                message = self.attempts.as_it_leaves(item)
+                message = self.attempts.prepare_set_up(item)
             elif isinstance(item, PendingGiveUp):
                 message = Release(item.attempt.call.ident, ReleaseCause.NORMAL)
             else:
@@ -101,7 +101,7 @@
             stream.write_started_us = self.core.now
             self.core.effects.append(Write(stream.ident, tuple(messages)))
 
-    def wrote(self, ident: int) -> None:
+    def write_completed(self, ident: int) -> None:
         stream = self.callers.by_stream.get(ident) or self.links.by_stream.get(ident)
         if stream is None:
             return
@@ -117,26 +117,26 @@
                 self.core.counters["forwards"] += 1
             elif isinstance(item, Release):
                 stream.unconfirmed[item.call] = (self.core.now, item)
-        self.ready[ident] = stream
+        self.pending[ident] = stream
         if isinstance(stream, Caller):
             self.callers.close_if_finished(stream)
 
     def drop(self, stream: Stream, reason: CloseReason) -> None:
         """Close a stream from our side."""
-        self.note_closed(stream, reason)
+        self.record_close(stream, reason)
         self.core.effects.append(Close(stream.ident))
         if isinstance(stream, Link):
             self.links.lose(stream, reason)
         elif isinstance(stream, Caller):
             self.callers.lose(stream)
 
-    def note_closed(self, stream: Stream, reason: CloseReason) -> None:
+    def record_close(self, stream: Stream, reason: CloseReason) -> None:
         """Record and count why a stream is closed."""
         if isinstance(stream, Link):
             self.core.counters[f"links_closed.{reason.name.lower()}"] += 1
-            self.core.note(
+            self.core.record(
                 TraceEvent.LINK_CLOSED, exchange=stream.exchange_id, stream=stream.ident, reason=reason.value
             )
         else:
             self.core.counters[f"callers_closed.{reason.name.lower()}"] += 1
-            self.core.note(TraceEvent.CALLER_CLOSED, stream=stream.ident, reason=reason.value)
+            self.core.record(TraceEvent.CALLER_CLOSED, stream=stream.ident, reason=reason.value)
--- a/tests/test_checking.py
+++ b/tests/test_checking.py
@@ -80,7 +80,7 @@
         desk.hold.add(desk.link[1])
         desk.pass_time(1_600_000)  # timed out, its give-up held
         desk.do(s.WriteCompleted(desk.link[1]))
-        held = [t for _, _, t in desk.session.timers.heap if isinstance(t.what, s.Attempt)]
+        held = [t for _, _, t in desk.session.timers.heap if isinstance(t.subject, s.Attempt)]
         self.assertEqual(held, [])
 
 
--- a/tests/test_ends_to_callers.py
+++ b/tests/test_ends_to_callers.py
@@ -95,8 +95,8 @@
         for stream in range(2, 60):
             self.desk.do(s.Accepted(stream))
         looked: list[s.Input] = []
-        best = self.desk.session.end_notices.best
-        self.desk.session.end_notices.best = lambda but=None: looked.append(but) or best(but)  # type: ignore
+        best = self.desk.session.end_notices.best_caller
+        self.desk.session.end_notices.best_caller = lambda but=None: looked.append(but) or best(but)  # type: ignore
         self.desk.pass_time(SECOND)
         self.assertEqual(len(looked), 0)
 
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -619,7 +619,7 @@
     def test_the_budget_follows_the_limit(self) -> None:
         for sockets, exchanges, most in ((384, 3, 335), (1024, 40, 864), (128, 10, 58), (96, 20, 32)):
             desk = Desk(far=exchanges - 1, sockets=sockets)
-            self.assertEqual(desk.session.callers.most(), most)
+            self.assertEqual(desk.session.callers.limit(), most)
 
     def test_in_a_crowd_what_comes_in_pieces_outlasts_silence(self) -> None:
         desk = Desk(sockets=12 * limits.MIN_CALLERS_DIVISOR)
@@ -651,7 +651,7 @@
         for k in range(1, 30):
             desk.hear(1, set_up(k, wait_ms=9000))
             desk.hear(1, p.Release(k, GIVE_UP))
-        held = [t for _, _, t in desk.session.timers.heap if isinstance(t.what, s.Call | s.Attempt)]
+        held = [t for _, _, t in desk.session.timers.heap if isinstance(t.subject, s.Call | s.Attempt)]
         self.assertEqual((held, desk.session.calls.by_id), ([], {}))
 
 
@@ -809,4 +809,4 @@
         self.assertEqual(len(desk.connects), count)
         self.assertEqual(desk.session.exchanges.by_id[102].state, i.ListState.DRAINING)
         self.assertEqual(desk.follows[-1], s.ConnectChannel(("127.0.0.1", 10), 3, limits.CHANNEL_CONNECT_TIMEOUT_US))
-        self.assertEqual(desk.session.core.sockets, 512)
+        self.assertEqual(desk.session.core.socket_limit, 512)
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -61,12 +61,12 @@
     def test_calls_that_end_with_their_exchange_are_named_with_its_silence(self) -> None:
         self.desk.stand(5)
         self.desk.pass_time(SECOND)
-        self.desk.session.calls.cut(self.desk.session.exchanges.by_id[101], self.desk.now, "is gone")
+        self.desk.session.calls.cut_off(self.desk.session.exchanges.by_id[101], self.desk.now, "is gone")
         (dead,) = self.records(TraceEvent.EXCHANGE_DEAD)
         self.assertIn("last heard 1000 ms ago: 1 standing calls are over: 0000000000000005", dead.reason)
 
     def test_the_trace_is_bounded(self) -> None:
         for k in range(1, TRACE_LENGTH + 10):
             self.desk.hear(1, p.HealthCheck(k))
-            self.desk.session.core.note(TraceEvent.CALL_TAKEN, call=k)
+            self.desk.session.core.record(TraceEvent.CALL_TAKEN, call=k)
         self.assertEqual(len(self.desk.session.trace_lines()), TRACE_LENGTH)
