--- a/latchturn/checking/states.py
+++ b/latchturn/checking/states.py
@@ -90,9 +90,9 @@
             "timers",
         )
     ),
-    Timers: frozenset(("count", "heap")),
+    Timers: frozenset(("sequence", "heap")),
     # These follow from the settings in use; the previous classes expire after their callers' longest give-up time.
-    Classes: frozenset(("served", "settings", "by_name", "tenants", "before")),
+    Classes: frozenset(("known_names", "settings", "index_by_name", "tenants", "previous")),
     History: frozenset(("now_us", "notify")),
     Environment: frozenset(("scope", "now_us", "session", "recording")),
 }
@@ -161,7 +161,7 @@
     tokens = [(module.timers[k], encoder.encode(k)) for k in module.timers if environment.token_is_live(k)]
     components = [encoder.encode(component) for component in vars(session).values() if isinstance(component, Component)]
     timers = [
-        (at - environment.now_us, timer.kind.name, encoder.encode(timer.what))
+        (at - environment.now_us, timer.kind.name, encoder.encode(timer.subject))
         for at, _, timer in sorted(session.timers.heap, key=lambda t: t[:2])
         if environment.timer_is_live(timer)
     ]
--- a/latchturn/session/links.py
+++ b/latchturn/session/links.py
@@ -61,7 +61,7 @@
         began = partial and not link.partial_since_us
         link.partial_since_us = (link.partial_since_us or self.core.now) if partial else 0
         if began:
-            self.timers.set(LINK_PARTIAL_TIMEOUT_US, TimerKind.HALF_READ, link)
+            self.timers.set(LINK_PARTIAL_TIMEOUT_US, TimerKind.PARTIAL_MESSAGE, link)
 
     def partial_message_timeout(self, link: Link) -> None:
         """Close a link whose message has stayed partial for too long: set-ups on it would get no answer.
@@ -73,7 +73,7 @@
             self.core.counters["links_half_read"] += 1
             self.writing.drop(link, CloseReason.HALF_READ)
         else:
-            self.timers.set(left_us, TimerKind.HALF_READ, link)
+            self.timers.set(left_us, TimerKind.PARTIAL_MESSAGE, link)
 
     def connected(self, stream: int) -> None:
         """Take a link into use that has come up, and send the releases that have waited for one."""
@@ -82,14 +82,14 @@
             self.core.effects.append(Close(stream))
             return
         link.change_state(StreamTransition.CONNECTED)
-        self.core.note(TraceEvent.LINK_UP, exchange=link.exchange_id, stream=stream)
+        self.core.record(TraceEvent.LINK_UP, exchange=link.exchange_id, stream=stream)
         link.up_since_us = self.core.now
         exchange = self.exchanges.by_id[link.exchange_id]
         self.liveness.link_connected(exchange)
         releases, exchange.unsent_releases = exchange.unsent_releases, []
         for _, release in releases:
             self.writing.queue(link, release)
-        self.writing.ready[link.ident] = link
+        self.writing.pending[link.ident] = link
         self.ensure_kept_links(exchange)
 
     def connect_failed(self, stream: int, refused: bool) -> None:
@@ -99,7 +99,7 @@
             return
         self.core.counters["connects_refused" if refused else "connects_timed_out"] += 1
         exchange = self.exchanges.by_id[link.exchange_id]
-        self.writing.note_closed(link, CloseReason.CONNECT_REFUSED if refused else CloseReason.CONNECT_FAILED)
+        self.writing.record_close(link, CloseReason.CONNECT_REFUSED if refused else CloseReason.CONNECT_FAILED)
         self.remove(link, CloseReason.CONNECT_FAILED)
         self.liveness.connect_failed(exchange, link, refused)
 
@@ -127,7 +127,7 @@
             else:
                 attempt.call.maybe_standing_at.add(exchange.ident)
                 self.attempts.end(attempt, i.Outcome.TIMED_OUT if attempt.giving_up else i.Outcome.CUT)
-        for release in self.writing.unfinished_releases(link):
+        for release in self.writing.undelivered_releases(link):
             self.exchanges.send_release(exchange, release)
         if link.up_since_us:
             self.missed_ends.link_lost(exchange, link, reason)
