--- a/latchturn/checking/plants.py
+++ b/latchturn/checking/plants.py
@@ -125,7 +125,7 @@
 def _drain_seen_at_choice() -> None:
     def wrap(original: Method) -> Method:
         def replacement(self: Any, attempt: Any) -> Any:
-            exchange = self.exchanges.by_id[attempt.link.exchange]
+            exchange = self.exchanges.by_id[attempt.link.exchange_id]
             state, exchange.state = exchange.state, i.ListState.READY
             try:
                 return original(self, attempt)
