--- a/tests/test_checking.py
+++ b/tests/test_checking.py
@@ -1,4 +1,4 @@
-"""The checker: it exhausts what it says, the same each time; it finds faults; bad files are one line."""
+"""Tests of the checker: exploration is exhaustive and reproducible, faults are found, bad trace files are rejected."""
 
 import json
 import os
@@ -28,8 +28,8 @@
 PATH = (("set_up", 1), ("refuse", -1, 1, "reset"))
 
 
-class Machines(unittest.TestCase):
-    def test_each_table_names_every_pair_once(self) -> None:
+class StateMachines(unittest.TestCase):
+    def test_each_table_contains_every_pair_once(self) -> None:
         for machine in MACHINES:
             for state in machine.states:
                 for move in machine.transition_kinds:
@@ -40,28 +40,28 @@
                     else:
                         self.assertIn(machine.next_state(state, move), list(machine.states))
 
-    def test_a_table_with_a_hole_or_a_pair_twice_is_turned_down(self) -> None:
-        whole = {(a, b): CallState.OVER for a in CallState for b in CallTransition}
-        for moves, never in (({}, {}), (whole, {(CallState.OVER, CallTransition.FORGET): "x"})):
+    def test_a_table_with_a_missing_or_duplicate_pair_is_rejected(self) -> None:
+        complete = {(a, b): CallState.OVER for a in CallState for b in CallTransition}
+        for moves, never in (({}, {}), (complete, {(CallState.OVER, CallTransition.FORGET): "x"})):
             with self.assertRaises(ValueError):
                 Machine("broken", CallState, CallTransition, moves, never)
 
-    def test_an_impossible_move_is_counted_logged_and_fails_its_call_alone(self) -> None:
+    def test_an_impossible_move_is_counted_logged_and_fails_only_its_call(self) -> None:
         desk = Desk()
         desk.hear(1, set_up(5))
         desk.hear(1, set_up(6, to=2))
         desk.session.calls.by_id[5].state = CallState.OVER
         written = desk.hear(desk.link[1], p.Answer(5, b"yes"))
-        self.assertEqual(desk.session.counters["errors"], 2)  # at the answer, and again as it is failed
+        self.assertEqual(desk.session.counters["errors"], 2)  # one at the answer, one when the call is failed
         self.assertLessEqual(len([m for k, m in written if k == 1]), 1)
         self.assertEqual(desk.hear(desk.link[2], p.Answer(6, b"yes")), [(1, p.Answer(6, b"yes"))])
         self.assertEqual(CALL.next_state(CallState.OWED, CallTransition.ANSWER), CallState.STANDING)
 
 
-class Mended(unittest.TestCase):
-    """What the checker has found in the reducer."""
+class Regressions(unittest.TestCase):
+    """Faults that the checker has found in the reducer."""
 
-    def test_a_drain_takes_back_what_waits_for_a_link(self) -> None:
+    def test_a_drain_withdraws_an_attempt_that_waits_for_a_link(self) -> None:
         desk = Desk()
         for stream in (desk.link[1], desk.second[1]):
             desk.do(s.ConnectionClosed(stream))
@@ -72,43 +72,43 @@
         written = desk.do(s.ListUpdateReceived(draining))
         self.assertEqual(desk.session.counters["attempts_not_sent"], 1)
         self.assertTrue(all(k != desk.link[1] for k, _ in written))
-        self.assertIsInstance(written[-1][1], p.Release | p.SetUp)  # answered, or on its way elsewhere
+        self.assertIsInstance(written[-1][1], p.Release | p.SetUp)  # refused, or sent to another exchange
 
-    def test_a_give_up_that_is_through_hangs_on_no_timer(self) -> None:
+    def test_no_timer_refers_to_an_attempt_whose_give_up_is_written(self) -> None:
         desk = Desk()
         desk.hear(1, set_up(5))
         desk.hold.add(desk.link[1])
-        desk.pass_time(1_600_000)  # timed out, its give-up held
+        desk.pass_time(1_600_000)  # the attempt times out; its give-up is not written yet
         desk.do(s.WriteCompleted(desk.link[1]))
         held = [t for _, _, t in desk.session.timers.heap if isinstance(t.what, s.Attempt)]
         self.assertEqual(held, [])
 
 
 class States(unittest.TestCase):
-    def test_a_snapshot_goes_on_as_its_world_did(self) -> None:
+    def test_a_restored_snapshot_behaves_like_its_original(self) -> None:
         environment = Environment(SCOPES["two"])
         for choice in PATH:
             environment.apply(choice)
-        again = load(save(environment))
-        self.assertEqual(fingerprint(again), fingerprint(environment))
-        for each in (environment, again):
-            each.apply(("tick",))
-        self.assertEqual(fingerprint(again), fingerprint(environment))
-        self.assertEqual(again.choices(), environment.choices())
-
-    def test_orders_that_come_to_the_same_have_one_fingerprint_and_others_have_not(self) -> None:
-        marks = []
+        restored = load(save(environment))
+        self.assertEqual(fingerprint(restored), fingerprint(environment))
+        for state in (environment, restored):
+            state.apply(("tick",))
+        self.assertEqual(fingerprint(restored), fingerprint(environment))
+        self.assertEqual(restored.choices(), environment.choices())
+
+    def test_equivalent_orders_of_choices_have_the_same_fingerprint_and_others_do_not(self) -> None:
+        fingerprints = []
         for last in (("half", 1), ("half", 2)), (("half", 2), ("half", 1)), (("half", 1),):
             environment = Environment(SCOPES["wide"])
             for choice in (("set_up", 1), *last):
                 environment.apply(choice)
-            marks.append(fingerprint(environment))
-        self.assertEqual(marks[0], marks[1])
-        self.assertNotEqual(marks[0], marks[2])
+            fingerprints.append(fingerprint(environment))
+        self.assertEqual(fingerprints[0], fingerprints[1])
+        self.assertNotEqual(fingerprints[0], fingerprints[2])
 
 
-class Exploring(unittest.TestCase):
-    def test_a_scope_is_exhausted_with_the_same_counts_on_any_number_of_processes(self) -> None:
+class Exploration(unittest.TestCase):
+    def test_a_scope_is_exhausted_with_the_same_counts_for_any_number_of_processes(self) -> None:
         one, three = explore("tries", 1), explore("tries", 3)
         self.assertTrue(one.exhausted and not one.violated, one.message)
         self.assertEqual(
@@ -119,29 +119,29 @@
         self.assertEqual(met, {"attempt", "call", "connection"})
         self.assertIn(("phase", "OPEN", "DRAIN"), unmet_pairs(one.pairs))
 
-    def test_time_that_is_up_is_never_told_as_exhausted(self) -> None:
+    def test_a_run_stopped_by_the_time_limit_is_not_exhausted(self) -> None:
         self.assertFalse(explore("two", 1, 0.2).exhausted)
 
-    def test_a_fault_is_found_on_a_shortest_path_that_holds_without_it(self) -> None:
+    def test_a_fault_is_found_on_a_shortest_path_and_that_path_holds_without_it(self) -> None:
         for name, violated, depth in (("pause-forgotten", "pause", 2), ("number-changed", "unchanged", 1)):
             found = explore("mini", 2, 30, name)
             self.assertEqual((found.violated, len(found.choices)), (violated, depth))
             self.assertIsNone(traces.replay("mini", found.choices, end=False))
 
-    def test_the_catalogue_has_faults_for_all_scopes_but_walks(self) -> None:
+    def test_planted_faults_use_exhaustive_scopes_and_property_names_are_unique(self) -> None:
         self.assertGreaterEqual(len(plants.PLANTED_FAULTS), 20)
         self.assertLessEqual({k.scope for k in plants.PLANTED_FAULTS.values()}, set(EXHAUSTIVE))
         self.assertEqual(len({property_.name for property_ in PROPERTIES}), len(PROPERTIES))
 
 
 class Walks(unittest.TestCase):
-    def test_a_seed_gives_the_same_walk(self) -> None:
+    def test_the_same_seed_gives_the_same_walk(self) -> None:
         one, two = walk(3, 300), walk(3, 300)
         self.assertEqual(one.violated, "", one.message)
         self.assertEqual((one.kinds, one.pairs), (two.kinds, two.pairs))
         self.assertNotEqual(one.kinds, walk(4, 300).kinds)
 
-    def test_what_a_walk_finds_is_shortened(self) -> None:
+    def test_a_path_to_a_violation_is_shortened(self) -> None:
         code = (
             "from latchturn.checking import plants, walks\n"
             "plants.plant('cancel-not-told')\n"
@@ -150,18 +150,18 @@
             "name, _ = walks.replay_offered(list(short), 'wide')\n"
             "print(name == seen.violated, len(short) < len(seen.choices), len(short))\n"
         )
-        done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-        self.assertRegex(done.stdout, r"^True True [2-9]\n")
+        completed = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
+        self.assertRegex(completed.stdout, r"^True True [2-9]\n")
         self.assertEqual(replay_offered([("set_up", 1)], "mini")[0], "")
         self.assertEqual(shorten((), "nothing", "mini"), ())
 
 
 class Commands(unittest.TestCase):
-    def run_(self, *words: str) -> tuple[int, str]:
-        done = CliRunner().invoke(main, ["check", *words])
-        return done.exit_code, done.output
+    def run_(self, *arguments: str) -> tuple[int, str]:
+        completed = CliRunner().invoke(main, ["check", *arguments])
+        return completed.exit_code, completed.output
 
-    def test_exit_codes_tell_the_verdict(self) -> None:
+    def test_exit_codes_show_the_result(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             file = os.path.join(folder, "found.json")
             cases = [
@@ -176,20 +176,20 @@
                 (0, "seed 2", ["walk", "--seed", "2", "--steps", "50"]),
                 (0, "assertIsNone(replay('mini'", ["replay", file, "--as-test"]),
             ]
-            for code, text, words in cases:
-                with self.subTest(words):
-                    got, output = self.run_(*words)
-                    self.assertEqual(got, code, output)
+            for expected_code, text, arguments in cases:
+                with self.subTest(arguments):
+                    code, output = self.run_(*arguments)
+                    self.assertEqual(code, expected_code, output)
                     self.assertIn(text, output)
-            # In a process of its own, as the fault is planted for the replay.
-            done = subprocess.run(
+            # The replay plants the fault, so it needs a process of its own.
+            completed = subprocess.run(
                 [sys.executable, "-m", "latchturn.cli", "check", "replay", file],
                 capture_output=True, text=True,
             )  # fmt: skip
-            self.assertEqual(done.returncode, 1, done.stderr)
-            self.assertIn("BROKEN  pause", done.stdout)
+            self.assertEqual(completed.returncode, 1, completed.stderr)
+            self.assertIn("BROKEN  pause", completed.stdout)
 
-    def test_files_that_cannot_be_used_are_one_line_and_code_2(self) -> None:
+    def test_an_unusable_trace_file_is_reported_with_its_path_and_exit_code_2(self) -> None:
         good = {"version": 1, "scope": "mini", "choices": [["set_up", 1]]}
         cases = {
             "version 9, expected 1": {**good, "version": 9},
@@ -214,11 +214,11 @@
             self.assertEqual(self.run_("replay", str(path))[0], 0)
 
 
-class Lean(unittest.TestCase):
-    def test_the_program_that_serves_imports_none_of_the_tools(self) -> None:
+class Imports(unittest.TestCase):
+    def test_the_session_controller_imports_none_of_the_tools(self) -> None:
         code = "import sys, latchturn.__main__; print(*sys.modules)"
-        done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-        loaded = {name for name in done.stdout.split()}
+        completed = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
+        loaded = {name for name in completed.stdout.split()}
         self.assertIn("latchturn.net", loaded)
         tools = {"click", "structlog", "msgspec", "coverage", "hcl2", "sqlalchemy", "opentelemetry"}
         tools |= {"sqlite3", "matplotlib", "numpy"}
