--- a/latchturn/checking/plants.py
+++ b/latchturn/checking/plants.py
@@ -82,7 +82,7 @@
 def _pause_forgotten() -> None:
     def wrap(original: Method) -> Method:
         def replacement(self: Controller, call: Any) -> Any:
-            call.not_before = 0
+            call.not_before_us = 0
             return original(self, call)
 
         return replacement
@@ -94,8 +94,8 @@
 def _pause_from_sending() -> None:
     def wrap(original: Method) -> Method:
         def replacement(self: Controller, call: Any) -> Any:
-            if call.not_before:
-                call.not_before = call.sent_us + self.settings.release_us
+            if call.not_before_us:
+                call.not_before_us = call.sent_us + self.settings.release_us
             return original(self, call)
 
         return replacement
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -26,8 +26,12 @@
             traffic_class, width = (TWO_LEG if two_leg else DIRECT), 1 + number % 4
             group.free_circuits = number
             n = group.in_use[traffic_class]
-            unreserved = unreserved_by_formula(group)
-            bounds = n < group.minimum[traffic_class] or width <= unreserved or (unreserved < 0 and not two_leg)
+            expected_unreserved = unreserved_by_formula(group)
+            bounds = (
+                n < group.minimum[traffic_class]
+                or width <= expected_unreserved
+                or (expected_unreserved < 0 and not two_leg)
+            )
             unfilled = max(0, group.minimum[DIRECT] - group.in_use[DIRECT]) if two_leg else 0
             within_limit = n + width <= group.limit[TWO_LEG] if two_leg else True
             expected = within_limit and bounds and number >= width + unfilled
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -62,9 +62,9 @@
         if outcome is i.Outcome.TIMED_OUT:
             self.not_before_us[call] = self.now + self.controller.settings.release_us
         attempt = self.attempts[call]
-        concluded = call in self.left
+        caller_left = call in self.left
         for _ in range(rng.choice((1, 1, 2))):
-            self.submit(i.AttemptEnded(call, attempt, 100 + number, outcome, 0, concluded, cause))
+            self.submit(i.AttemptEnded(call, attempt, 100 + number, outcome, 0, caller_left, cause))
 
 
 @settings(max_examples=25, deadline=None, derandomize=True)
