--- a/latchturn/checking/environment.py
+++ b/latchturn/checking/environment.py
@@ -258,10 +258,10 @@
 
     def timer_is_live(self, timer: Timer) -> bool:
         """Whether a timer may still have an effect. Withdrawn timers would only add steps of the clock."""
-        subject = timer.what
+        subject = timer.subject
         if timer.kind in (TimerKind.ATTEMPT, TimerKind.GIVE_UP):
             return isinstance(subject, s.Attempt) and subject.call.attempt is subject
-        if timer.kind is TimerKind.MODULE:
+        if timer.kind is TimerKind.DECISION_MODULE:
             return self.token_is_live(subject)
         return timer.kind is not TimerKind.DEADLINE or subject is not None
 
--- a/latchturn/session/housekeeping.py
+++ b/latchturn/session/housekeeping.py
@@ -64,7 +64,7 @@
         """Send unconfirmed releases on another connection, and drop those that are taken to have arrived."""
         if isinstance(stream, Caller):
             self.end_notices.send_again(stream)
-        for ident in self.writing.settled_releases(stream):
+        for ident in self.writing.presumed_delivered(stream):
             del stream.unconfirmed[ident]
 
     def _check_write(self, stream: Stream) -> None:
@@ -107,8 +107,8 @@
 
     def _drop_old_settings(self) -> None:
         """Drop the call classes of the previous settings once the last caller that used them must have given up."""
-        if self.classes.before and self.core.now > self.classes.before_until_us:
-            self.classes.use(self.classes.read, None)
+        if self.classes.previous and self.core.now > self.classes.previous_until_us:
+            self.classes.apply(self.classes.configured, None)
             self.core.events.append(i.SettingsChanged(self.classes.settings))
 
     def _drop_expired(self) -> None:
--- a/latchturn/session/missed_ends.py
+++ b/latchturn/session/missed_ends.py
@@ -81,7 +81,7 @@
             if call.end_missed_since_us <= exchange.initial_messages_lost_us
         ]
         missed = [call for call in both_lost if call.end_missed_since_us <= due_us]
-        self.calls.end_unheard(exchange, missed, "may have reported ends of calls on lost links only")
+        self.calls.presume_ended(exchange, missed, "may have reported ends of calls on lost links only")
         if not exchange.recovery_due_us or self.core.now < exchange.recovery_due_us:
             return
         if not self._may_have_missed_ends(exchange):
