--- a/latchturn/checking/plants.py
+++ b/latchturn/checking/plants.py
@@ -75,7 +75,7 @@
     def wrap(original: Method) -> Method:
         return lambda s, kind, what: None if kind is TimerKind.ATTEMPT else original(s, kind, what)
 
-    _replace_method(reducer.Session, "_due", wrap)
+    _replace_method(reducer.Session, "_timer_due", wrap)
 
 
 @_planted_fault("mini", "the decision module does not pause after an attempt that was reset")
@@ -134,7 +134,7 @@
 
         return replacement
 
-    _replace_method(attempts.Attempts, "as_it_leaves", wrap)
+    _replace_method(attempts.Attempts, "prepare_set_up", wrap)
     _replace_method(exchanges.Exchanges, "withdraw_queued_attempts", lambda _: lambda s, exchange: None)
 
 
@@ -159,7 +159,7 @@
 
         return replacement
 
-    _replace_method(callers.Callers, "asked", wrap)
+    _replace_method(callers.Callers, "take_set_up", wrap)
 
 
 @_planted_fault("mini", "a refused call stays in the table and is failed again at its deadline")
@@ -175,12 +175,12 @@
 
 @_planted_fault("mini", "timers are not withdrawn when their call or attempt ends")
 def _timer_outlives() -> None:
-    _replace_method(timers.Timers, "drop", lambda _: staticmethod(lambda timer: None))
+    _replace_method(timers.Timers, "cancel", lambda _: staticmethod(lambda timer: None))
 
 
 @_planted_fault("writes", "a release that was being written when its connection closed is not sent on another")
 def _release_lost_with_connection() -> None:
-    _replace_method(writing.Writing, "unfinished_releases", lambda _: lambda s, stream: [])
+    _replace_method(writing.Writing, "undelivered_releases", lambda _: lambda s, stream: [])
 
 
 @_planted_fault("rude", "a release is dropped if no caller's connection is open")
@@ -198,7 +198,7 @@
 def _waits_for_ever() -> None:
     def wrap(original: Method) -> Method:
         def replacement(self: Any, delay_us: int, kind: TimerKind, what: object = None) -> Any:
-            postponed = kind in (TimerKind.MODULE, TimerKind.DEADLINE)
+            postponed = kind in (TimerKind.DECISION_MODULE, TimerKind.DEADLINE)
             return original(self, delay_us + (10_000_000 if postponed else 0), kind, what)
 
         return replacement
@@ -221,7 +221,7 @@
 
         return replacement
 
-    _replace_method(calls.Calls, "final", wrap)
+    _replace_method(calls.Calls, "send_final_answer", wrap)
 
 
 @_planted_fault("mini", "the called number is changed in the forwarded set-up")
@@ -233,7 +233,7 @@
 
         return replacement
 
-    _replace_method(attempts.Attempts, "as_it_leaves", wrap)
+    _replace_method(attempts.Attempts, "prepare_set_up", wrap)
 
 
 @_planted_fault("mini", "each attempt is sent with the caller's whole wait")
@@ -246,7 +246,7 @@
 
         return replacement
 
-    _replace_method(attempts.Attempts, "as_it_leaves", wrap)
+    _replace_method(attempts.Attempts, "prepare_set_up", wrap)
 
 
 def _any_link() -> None:
@@ -274,7 +274,7 @@
     def wrap(original: Method) -> Method:
         def replacement(self: Any, exchange: Any, link: Any, answer: Any, attempt: Any) -> Any:
             if attempt is None and answer.call in self.calls.by_id:
-                self.calls.final(answer.call, p.Answer(answer.call, answer.description))
+                self.calls.send_final_answer(answer.call, p.Answer(answer.call, answer.description))
                 return None
             return original(self, exchange, link, answer, attempt)
 
@@ -295,7 +295,7 @@
 
         return replacement
 
-    _replace_method(calls.Calls, "leave", wrap)
+    _replace_method(calls.Calls, "abandon", wrap)
 
 
 @_planted_fault("mini", "the calls of a caller's connection that closes are not given up")
@@ -327,7 +327,7 @@
 
         return replacement
 
-    _replace_method(calls.Calls, "cut", wrap)
+    _replace_method(calls.Calls, "cut_off", wrap)
 
 
 @_planted_fault("settings", "a drain closes callers' connections although calls wait on them")
@@ -389,11 +389,11 @@
             written_attempts = [x.attempt for x in stream.in_flight if hasattr(x, "attempt")] if stream else []
             original(self, ident)
             for attempt in written_attempts:
-                self.attempts.give_back(attempt)
+                self.attempts.detach(attempt)
 
         return replacement
 
-    _replace_method(writing.Writing, "wrote", wrap)
+    _replace_method(writing.Writing, "write_completed", wrap)
 
 
 @_planted_fault("mini", "a forgotten call stays among the unanswered calls of its connection")
@@ -430,7 +430,7 @@
 
         return replacement
 
-    _replace_method(calls.Calls, "final", wrap)
+    _replace_method(calls.Calls, "send_final_answer", wrap)
 
 
 @_planted_fault("list", "a draining exchange is treated as ready")
@@ -459,7 +459,7 @@
 
         return replacement
 
-    _replace_method(calls.Calls, "final", wrap)
+    _replace_method(calls.Calls, "send_final_answer", wrap)
 
 
 @_planted_fault("strays", "a refusal on any link ends the outstanding attempt")
--- a/latchturn/session/liveness.py
+++ b/latchturn/session/liveness.py
@@ -70,7 +70,7 @@
         exchange.last_alive_us, exchange.outage_since_us = self.core.now, 0
         if exchange.quiet_noted:
             exchange.quiet_noted = False
-            self.core.note(TraceEvent.EXCHANGE_RESPONSIVE, exchange=exchange.ident)
+            self.core.record(TraceEvent.EXCHANGE_RESPONSIVE, exchange=exchange.ident)
 
     def connect_failed(self, exchange: Exchange, link: Link, refused: bool) -> None:
         """Conclude from a failed connect: a time-out begins an outage, a refusal may mean that the process has died."""
@@ -89,7 +89,7 @@
             return
         # A link broke and nobody listens: the process has died, and its calls with it. Its other links are closed here,
         # since without traffic the links of a dead process may stay silent.
-        self.calls.cut(exchange, self.core.now + 1, "refuses connections")
+        self.calls.cut_off(exchange, self.core.now + 1, "refuses connections")
         for other in open_links:
             self.writing.drop(other, CloseReason.EXCHANGE_DEAD)
 
@@ -119,7 +119,7 @@
         if exchange.state is not i.ListState.READY or not together or others:
             return
         if busy:
-            self.calls.cut(exchange, self.core.now + 1, "reset all its links at once")
+            self.calls.cut_off(exchange, self.core.now + 1, "reset all its links at once")
             return
         # Another machine may have taken the address of one that vanished, and resets connections unknown to it.
         if not exchange.all_links_reset_us:
@@ -140,8 +140,8 @@
             exchange.all_links_reset_us = 0
             return
         if exchange.all_links_reset_us and self.core.now - exchange.received_before_reset_us >= SILENCE_LIMIT_US:
-            calls = self.calls.stood_before(exchange, exchange.all_links_reset_us)
-            self.calls.end_unheard(
+            calls = self.calls.standing_before(exchange, exchange.all_links_reset_us)
+            self.calls.presume_ended(
                 exchange, calls, "reset all its links after a silence, and has reported no end of a call since"
             )
             exchange.all_links_reset_us = 0
@@ -152,7 +152,7 @@
             exchange.refusing_since_us
             and self.core.now - max(exchange.refusing_since_us, exchange.last_alive_us) > DRAINED_AFTER_US
         ):
-            self.calls.cut(exchange, self.core.now + 1, "has drained and refuses connections")
+            self.calls.cut_off(exchange, self.core.now + 1, "has drained and refuses connections")
         elif silent_us >= PROBE_AFTER_US and self.core.now - exchange.last_probe_us >= PROBE_INTERVAL_US:
             self._probe_quiet(exchange)
 
@@ -161,15 +161,15 @@
         if exchange.outage_since_us and exchange.last_received_us >= exchange.outage_since_us:
             self._end_calls_before_outage(exchange, "responds again, but only on links opened since its outage")
             return
-        standing = self.calls.stood_before(exchange, self.core.now + 1)
+        standing = self.calls.standing_before(exchange, self.core.now + 1)
         for link in list(exchange.links.values()):
             if link.up and not link.attempts:
                 self.writing.drop(link, CloseReason.SILENT)
-        self.calls.end_unheard(exchange, standing, "is silent")
+        self.calls.presume_ended(exchange, standing, "is silent")
 
     def _end_calls_before_outage(self, exchange: Exchange, why: str) -> None:
         """End the calls from before the outage: the process that responds now may be another. It is alive from now."""
-        self.calls.end_unheard(exchange, self.calls.stood_before(exchange, exchange.outage_since_us), why)
+        self.calls.presume_ended(exchange, self.calls.standing_before(exchange, exchange.outage_since_us), why)
         self._mark_alive(exchange)
 
     def probe_after_timeout(self, exchange: Exchange) -> None:
@@ -185,7 +185,7 @@
             exchange.quiet_noted = True
             silent_ms = (self.core.now - exchange.last_alive_us) // 1000
             reason = f"{len(exchange.standing_calls)} standing calls, no message for {silent_ms} ms"
-            self.core.note(TraceEvent.EXCHANGE_QUIET, exchange=exchange.ident, reason=reason)
+            self.core.record(TraceEvent.EXCHANGE_QUIET, exchange=exchange.ident, reason=reason)
         self.open_extra_link(exchange, may_replace=True, max_wait_us=SILENT_LINK_WAIT_US)
 
     def open_extra_link(self, exchange: Exchange, may_replace: bool = False, max_wait_us: float = math.inf) -> bool:
--- a/latchturn/session/phases.py
+++ b/latchturn/session/phases.py
@@ -70,7 +70,7 @@
         open_ = sum(call.standing_exchange is None for call in self.calls.by_id.values())
         text = f"{before.name} to {self.state.name} by {transition.name}: {len(self.callers.by_stream)} connections"
         text += f", {open_} open calls, {len(self.calls.by_id) - open_} standing"
-        self.core.note(TraceEvent.PHASE, reason=text)
+        self.core.record(TraceEvent.PHASE, reason=text)
 
     def is_work_done(self) -> bool:
         """After SIGTERM: whether all calls taken are answered, all messages written, and no new set-up can arrive."""
@@ -85,7 +85,7 @@
 
     def figures(self) -> dict[str, int]:
         """All figures at present: first those of the fixed table of the admin listener, then the other counters."""
-        names = [operations.class_figure_name(n, c) for c in self.classes.served for n in operations.CLASS_FIGURES]
+        names = [operations.class_figure_name(n, c) for c in self.classes.known_names for n in operations.CLASS_FIGURES]
         counted = ("forwards", "sighup_applied", "sighup_rejected")
         figures = {name: self.core.counters[name] for name in (*names, *counted)}
         # Standing calls count, since they have not ended. So do those of the other process: during a replacement two
@@ -220,9 +220,9 @@
 
         If the settings have changed lately, it is the shorter one of the old and the new settings.
         """
-        waits = [max(c.give_up_us for c in self.classes.read.classes)]
-        if self.classes.before:
-            waits.append(max(c.give_up_us for c in self.classes.before.values()))
+        waits = [max(c.give_up_us for c in self.classes.configured.classes)]
+        if self.classes.previous:
+            waits.append(max(c.give_up_us for c in self.classes.previous.values()))
         return min(waits)
 
     def sigterm_timer_due(self) -> None:
