--- a/latchturn/checking/environment.py
+++ b/latchturn/checking/environment.py
@@ -424,8 +424,8 @@
     def _other_choices(self, offered: list[Choice], allowed: set[str]) -> None:
         """Add the choices about exchanges, links being opened, the list, operators and other processes."""
         for exchange_id, exchange in self.simulated_exchanges.items():
-            listed = self.history.exchanges.get(exchange_id)
-            still_listed = listed is not None and not listed.gone
+            list_entry = self.history.exchanges.get(exchange_id)
+            still_listed = list_entry is not None and not list_entry.gone
             kinds = ("ready",) if exchange_id in self.draining_exchanges else ("drain",)
             offered += [
                 (kind, exchange_id) for kind in (*kinds, "gone", "replaced") if still_listed and kind in allowed
@@ -607,7 +607,9 @@
         """An exchange dies: its standing calls and links are lost."""
         self.simulated_exchanges[exchange_id].alive = False
         self.simulated_exchanges[exchange_id].died_us = self.now_us
-        self.standing_calls = {call_id: at for call_id, at in self.standing_calls.items() if at != exchange_id}
+        self.standing_calls = {
+            k: standing_at for k, standing_at in self.standing_calls.items() if standing_at != exchange_id
+        }
         for link in [k for k, peer in self.peers.items() if peer.exchange_id == exchange_id]:
             if link in self.peers:
                 self._do_reset(link)
@@ -699,7 +701,9 @@
     def _do_replaced(self, exchange_id: int) -> None:
         """The list reports a new exchange at the address of one that has died without a report of the list."""
         old = self.simulated_exchanges.pop(exchange_id)
-        self.standing_calls = {call_id: at for call_id, at in self.standing_calls.items() if at != exchange_id}
+        self.standing_calls = {
+            k: standing_at for k, standing_at in self.standing_calls.items() if standing_at != exchange_id
+        }
         new = self.simulated_exchanges[self.next_exchange_id] = SimulatedExchange(
             self.next_exchange_id, old.number, old.port
         )
--- a/latchturn/cli/check.py
+++ b/latchturn/cli/check.py
@@ -145,14 +145,12 @@
 
     work = [(s, steps) for s in range(seed, seed + count)]
     with multiprocessing.get_context("fork").Pool(min(jobs, count)) as pool:
-        for walk_result in pool.starmap(walks.walk, work):
-            click.echo(
-                f"seed {walk_result.seed}: {walk_result.steps} steps, {walk_result.calls} calls, {walk_result.seconds:.1f} s"
-            )
-            if walk_result.violated:
-                shortened = walks.shorten(walk_result.choices, walk_result.violated)
+        for walked in pool.starmap(walks.walk, work):
+            click.echo(f"seed {walked.seed}: {walked.steps} steps, {walked.calls} calls, {walked.seconds:.1f} s")
+            if walked.violated:
+                shortened = walks.shorten(walked.choices, walked.violated)
                 _report_violation(
-                    traces.Trace(traces.VERSION, "wide", shortened, walk_result.violated, walk_result.message), file
+                    traces.Trace(traces.VERSION, "wide", shortened, walked.violated, walked.message), file
                 )
                 sys.exit(BROKEN)
 
