--- a/latchturn/brain.py
+++ b/latchturn/brain.py
@@ -130,11 +130,11 @@
         self.number = number
         self.group = group
         self.ready = False
-        self.warm_up_until = 0
+        self.warm_up_until_us = 0
         self.outstanding = 0  # attempts sent and not answered yet
         self.window = INITIAL_WINDOW
         self.last_shrunk_us = 0
-        self.blocked_until = 0  # no set-up before this: back-off, or a wait that the exchange asked for
+        self.blocked_until_us = 0  # no set-up before this: back-off, or a wait that the exchange asked for
         self.consecutive_unanswered = 0  # attempts in a row
         self.last_answer_us = 0
         self.throttle_share = 0.0  # last report
@@ -146,7 +146,7 @@
 
     def accepts_set_up(self, now: int) -> bool:
         """Whether a set-up may be sent at all, by list state, back-off and congestion window."""
-        return self.ready and now >= self.blocked_until and self.outstanding < self.window
+        return self.ready and now >= self.blocked_until_us and self.outstanding < self.window
 
     def congested(self) -> bool:
         """Whether its processor seems overloaded, by its answers or by its reports."""
@@ -215,6 +215,7 @@
         self.now = 0
 
     def _apply_settings(self, settings: i.Settings) -> None:
+        """Validate settings and replace the ones in use."""
         validate(settings)
         self.settings = settings
         self.uses_pools = settings.topology is i.Topology.POOLS
@@ -250,7 +251,7 @@
 
     def backed_off(self, now_us: int) -> int:
         """Number of listed exchanges that get no set-ups now, because they did not answer or were full."""
-        return sum(e.blocked_until > now_us for e in self.exchanges.values())
+        return sum(e.blocked_until_us > now_us for e in self.exchanges.values())
 
     # --- the exchange list ---
 
@@ -265,8 +266,8 @@
             listed.add(entry.exchange)
             self._apply_entry(entry)
         if event.kind is not i.ListKind.CHANGES:
-            for ident in [ident for ident in self.exchanges if ident not in listed]:
-                self._remove_exchange(ident)
+            for known_id in [known_id for known_id in self.exchanges if known_id not in listed]:
+                self._remove_exchange(known_id)
         self.by_number = {}
         for exchange in self.exchanges.values():
             if exchange.ready or exchange.number not in self.by_number:
@@ -276,12 +277,12 @@
         for number in list(self.queues):
             self._serve_queue(number)
 
-    def _remove_exchange(self, ident: int) -> None:
+    def _remove_exchange(self, known_id: int) -> None:
         """Forget an exchange that is no longer listed. Its calls keep a reference to it until they end.
 
         Without this, memory would grow with every exchange that is replaced.
         """
-        gone = self.exchanges.pop(ident, None)
+        gone = self.exchanges.pop(known_id, None)
         if gone is not None and gone.ready:
             gone.ready = False
             self._log(f"exchange {gone.number} was removed from the exchange list")
@@ -296,12 +297,12 @@
             group = self.groups.setdefault(entry.number, TrunkGroup())
             known = self.exchanges[entry.exchange] = Exchange(entry.exchange, entry.number, group)
         ready = entry.state is i.ListState.READY
-        warm_up_until = entry.started_us + self.settings.warm_up_us if entry.started_us else 0
-        if warm_up_until != known.warm_up_until:
-            known.warm_up_until = warm_up_until
-            if warm_up_until > self.now:
+        warm_up_until_us = entry.started_us + self.settings.warm_up_us if entry.started_us else 0
+        if warm_up_until_us != known.warm_up_until_us:
+            known.warm_up_until_us = warm_up_until_us
+            if warm_up_until_us > self.now:
                 known.window = INITIAL_WINDOW
-                known.blocked_until = known.consecutive_unanswered = 0
+                known.blocked_until_us = known.consecutive_unanswered = 0
                 known.next_turn_us = self._next_warm_up_turn(known, self.now, self._warm_up_gap())
         if known.ready and not ready:
             self._log(f"exchange {known.number} is draining and gets no new set-ups")
@@ -323,9 +324,9 @@
             return
         self.calls[offer.call] = call
         if not offer.transit and call.first_dialled_us == self.now:
-            gap = max(1, self.now - self.last_first_dial_us)
-            weight = min(1.0, gap / self.settings.warm_up_us)
-            self.first_dial_rate += weight * (1e6 / gap - self.first_dial_rate)
+            gap_us = max(1, self.now - self.last_first_dial_us)
+            weight = min(1.0, gap_us / self.settings.warm_up_us)
+            self.first_dial_rate += weight * (1e6 / gap_us - self.first_dial_rate)
             self.last_first_dial_us = self.now
         if self._number_deferred(offer.called_number):
             self._refuse(call, self.settings.max_retry_after_us, Reason.NUMBER_BUSY)
@@ -347,10 +348,10 @@
         if offer.transit:
             return self.now
         self.redials_marked = self.redials_marked or offer.redialled
-        first = self.redial_records.pop(offer.called_number, self.now)
-        give_up = self.settings.classes[offer.class_index].give_up_us
+        recorded_us = self.redial_records.pop(offer.called_number, self.now)
+        longest_redial_us = self.settings.classes[offer.class_index].give_up_us
         is_first_dial = offer.cut_before or (self.redials_marked and not offer.redialled)
-        return self.now if is_first_dial or self.now - first > give_up else first
+        return self.now if is_first_dial or self.now - recorded_us > longest_redial_us else recorded_us
 
     def _remove_unanswered(self, call: Call) -> None:
         """Forget a call that was not answered, but keep the time of its caller's first dial."""
@@ -389,12 +390,12 @@
             self._warming_up(destination_exchange) and not self._warm_up_turn_open(destination_exchange)
         )
         if not direct_blocked and group.admits(traffic_class, offer.width):
-            begin = self.now if late else call.first_dialled_us
+            start_us = self.now if late else call.first_dialled_us
             self._send(
                 call,
                 destination_exchange,
                 traffic_class,
-                int(begin + call.call_class.target_us * DIRECT_TIMEOUT_SHARE - self.now),
+                int(start_us + call.call_class.target_us * DIRECT_TIMEOUT_SHARE - self.now),
             )
             return True
         if offer.transit or late or destination_exchange.congested() or self._warming_up(destination_exchange):
@@ -434,15 +435,15 @@
                 best, best_rank = tandem, rank
         return best
 
-    def _send(self, call: Call, chosen: Exchange, traffic_class: int, timeout: int) -> None:
+    def _send(self, call: Call, chosen: Exchange, traffic_class: int, timeout_us: int) -> None:
         """Send a set-up and count it.
 
         The time-out is raised to MIN_TIMEOUT_SHARE of the shortest target, but never goes past the deadline.
         """
         chosen.group.seize(traffic_class, call.offer.width)
         if self._warming_up(chosen):
-            gap = self._warm_up_gap()
-            chosen.next_turn_us = self._next_warm_up_turn(chosen, self.now + gap // 2, gap)
+            gap_us = self._warm_up_gap()
+            chosen.next_turn_us = self._next_warm_up_turn(chosen, self.now + gap_us // 2, gap_us)
         chosen.outstanding += 1
         call.sent_to, call.two_leg, call.sent_us, call.awaiting_answer = (
             chosen,
@@ -455,8 +456,10 @@
             call.tandems_tried.append(chosen.number)
         if call.queued:
             self._dequeue(call)
-        timeout = min(call.offer.deadline_us - self.now, max(timeout, int(MIN_TIMEOUT_SHARE * self.shortest_target_us)))
-        self.actions.append(i.SendSetup(call.offer.call, chosen.exchange_id, timeout))
+        timeout_us = min(
+            call.offer.deadline_us - self.now, max(timeout_us, int(MIN_TIMEOUT_SHARE * self.shortest_target_us))
+        )
+        self.actions.append(i.SendSetup(call.offer.call, chosen.exchange_id, timeout_us))
 
     def _attempts_used_up(self, call: Call) -> bool:
         """Whether a call has no attempt left, by the lower of the limits at its offer and now."""
@@ -479,9 +482,9 @@
         call.queued = True
         self.queues.setdefault(call.offer.destination, []).append(call)
         self._set_timer(call.queue_until_us - self.now, call.offer.call)
-        earliest = self._earliest_send(call)
-        if self.now < earliest:
-            self._set_timer(earliest - self.now, call.offer.call)
+        earliest_us = self._earliest_send(call)
+        if self.now < earliest_us:
+            self._set_timer(earliest_us - self.now, call.offer.call)
 
     def _refusal_reason(self, call: Call) -> Reason | None:
         """Why a queued call cannot be sent any more, None if it still can.
@@ -503,13 +506,13 @@
     def _earliest_send(self, call: Call) -> int:
         """The first time at which a call may be sent, as far as is known now."""
         destination_exchange = self.by_number[call.offer.destination]
-        earliest = max(
+        earliest_us = max(
             call.not_before_us, destination_exchange.next_turn_us if self._warming_up(destination_exchange) else 0
         )
         # A back-off counts only while no set-up is outstanding, since an answer may end it early, and only if the
         # destination is congested, since it may otherwise be reached over a tandem.
         paused = destination_exchange.congested() and destination_exchange.outstanding == 0
-        return max(earliest, destination_exchange.blocked_until) if paused else earliest
+        return max(earliest_us, destination_exchange.blocked_until_us) if paused else earliest_us
 
     def _retry_after(self, call: Call) -> int:
         """The retry-after for a refused caller, in microseconds.
@@ -539,6 +542,7 @@
         return any(c.offer.width > call.offer.width and c.value_per_circuit >= call.value_per_circuit for c in queue)
 
     def _dequeue(self, call: Call) -> None:
+        """Take a call out of the queue of its destination."""
         call.queued = False
         queue = self.queues[call.offer.destination]
         queue.remove(call)
@@ -557,13 +561,13 @@
             elif not head_blocked and not self._route(call) and self.now >= call.not_before_us:
                 head_blocked = True
 
-    def _refuse(self, call: Call, retry_after: int, reason: Reason) -> None:
+    def _refuse(self, call: Call, retry_after_us: int, reason: Reason) -> None:
         """Refuse a call with a retry-after in microseconds, limited to the setting."""
         if call.queued:
             self._dequeue(call)
         self._remove_unanswered(call)
-        retry_after = min(retry_after, self.settings.max_retry_after_us)
-        self.actions.append(i.Refuse(call.offer.call, retry_after, reason))
+        retry_after_us = min(retry_after_us, self.settings.max_retry_after_us)
+        self.actions.append(i.Refuse(call.offer.call, retry_after_us, reason))
 
     def _on_call_answered(self, event: i.CallAnswered) -> None:
         """Note an answered call; its circuits stay counted until it ends."""
@@ -588,7 +592,7 @@
         """
         sent_to.last_answer_us = self.now
         if sent_to.consecutive_unanswered >= BACK_OFF_THRESHOLD:
-            sent_to.blocked_until = 0
+            sent_to.blocked_until_us = 0
             self._log(f"exchange {sent_to.number} answers again")
         sent_to.consecutive_unanswered = 0
         answer_time_us = self.now - call.sent_us
@@ -667,8 +671,8 @@
             self._note_answer(call, sent_to)
             if cause is i.Cause.PROCESSOR_FULL:
                 sent_to.window = 1.0
-                sent_to.blocked_until = max(
-                    sent_to.blocked_until, self.now + max(event.wait_us, self.settings.release_us)
+                sent_to.blocked_until_us = max(
+                    sent_to.blocked_until_us, self.now + max(event.wait_us, self.settings.release_us)
                 )
             elif cause in (i.Cause.REFUSED_BY_TANDEM, i.Cause.DESTINATION_PROCESSOR_FULL) and call.two_leg:
                 self.tandem_refusal_share += SMOOTHING_WEIGHT * (1.0 - self.tandem_refusal_share)
@@ -698,14 +702,14 @@
                 MAX_BACK_OFF, FIRST_BACK_OFF * 2 ** min(sent_to.consecutive_unanswered - BACK_OFF_THRESHOLD, 20)
             )
             sent_to.window = 1.0
-            sent_to.blocked_until = max(sent_to.blocked_until, self.now + int(pause * self.settings.release_us))
+            sent_to.blocked_until_us = max(sent_to.blocked_until_us, self.now + int(pause * self.settings.release_us))
             if sent_to.consecutive_unanswered == BACK_OFF_THRESHOLD:
                 self._log(f"exchange {sent_to.number} does not answer, backing off")
 
     def _defer_number(self, called_number: int) -> None:
         """Allow the next set-up to a busy number only after a gap."""
-        gap = self.shortest_target_us * BUSY_NUMBER_GAP * self.settings.controllers
-        _remember(self.busy_numbers, called_number, self.now + int(gap), MAX_BUSY_NUMBERS)
+        gap_us = self.shortest_target_us * BUSY_NUMBER_GAP * self.settings.controllers
+        _remember(self.busy_numbers, called_number, self.now + int(gap_us), MAX_BUSY_NUMBERS)
 
     def _number_deferred(self, called_number: int) -> bool:
         """Whether a call to a busy number must be refused; if not, the next gap begins.
@@ -732,23 +736,24 @@
 
     def _on_timer(self, event: i.TimerDue) -> None:
         """Try a queued call again, or refuse it, or subscribe to the exchange list again."""
-        ident = self.timers.pop(event.token, None)
-        if ident is None:
+        call_id = self.timers.pop(event.token, None)
+        if call_id is None:
             return
-        if ident == -1:
+        if call_id == -1:
             self.actions.append(i.SubscribeToList())
             return
-        call = self.calls.get(ident)
+        call = self.calls.get(call_id)
         if call is None or not call.queued or self._route(call):
             return
         if reason := self._refusal_reason(call):
             self._refuse(call, self._retry_after(call), reason)
 
-    def _set_timer(self, delay: int, ident: int) -> None:
+    def _set_timer(self, delay_us: int, call_id: int) -> None:
+        """Request a `TimerDue` for a call, or with -1 for the exchange list. Tokens have 32 bits and are never 0."""
         token = self.next_token
         self.next_token = token % 0xFFFFFFFF + 1
-        self.timers[token] = ident
-        self.actions.append(i.SetTimer(max(1, delay), token))
+        self.timers[token] = call_id
+        self.actions.append(i.SetTimer(max(1, delay_us), token))
 
     # --- reports of exchanges, and the warm-up of recently started ones ---
 
@@ -770,9 +775,9 @@
             remote.max_reported_rate = max(remote.max_reported_rate, report.setups_per_s)
 
     def _warming_up(self, remote: Exchange) -> bool:
-        return remote.warm_up_until > self.now
+        return remote.warm_up_until_us > self.now
 
-    def _next_warm_up_turn(self, remote: Exchange, after: int, gap: int) -> int:
+    def _next_warm_up_turn(self, remote: Exchange, after: int, gap_us: int) -> int:
         """The first turn of this controller after a given time at an exchange that is warming up (slow start).
 
         Prevents all controllers together from overloading a recently started processor. Each controller has
@@ -780,8 +785,8 @@
         are spread evenly from the first one on, however late each learns of the start, and even if it is
         restarted itself.
         """
-        start = remote.warm_up_until - self.settings.warm_up_us + int(self.turn_offset * gap)
-        return start + -((start - after) // gap) * gap
+        start = remote.warm_up_until_us - self.settings.warm_up_us + int(self.turn_offset * gap_us)
+        return start + -((start - after) // gap_us) * gap_us
 
     def _warm_up_turn_open(self, remote: Exchange) -> bool:
         """Whether it is this controller's turn at an exchange that is warming up.
@@ -791,9 +796,9 @@
         """
         if self.now < remote.next_turn_us:
             return False
-        gap = self._warm_up_gap()
-        if self.now >= remote.next_turn_us + TURN_OPEN_SHARE * gap:
-            remote.next_turn_us = self._next_warm_up_turn(remote, self.now, gap)
+        gap_us = self._warm_up_gap()
+        if self.now >= remote.next_turn_us + TURN_OPEN_SHARE * gap_us:
+            remote.next_turn_us = self._next_warm_up_turn(remote, self.now, gap_us)
         return self.now >= remote.next_turn_us
 
     def _warm_up_gap(self) -> int:
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -380,7 +380,7 @@
     for _ in range(4):  # from the second unanswered attempt on each doubles the back-off
         call, _ = harness.offer(1)
         harness.end_attempt(call, 1, i.Outcome.UNREACHABLE, concluded=True)
-        harness.now = max(harness.now, harness.controller.exchanges[101].blocked_until)
+        harness.now = max(harness.now, harness.controller.exchanges[101].blocked_until_us)
     call, _ = harness.offer(1)
     harness.end_attempt(call, 1, i.Outcome.UNREACHABLE, concluded=True)
     call, actions = harness.offer(1)
