--- a/latchturn/__main__.py
+++ b/latchturn/__main__.py
@@ -8,7 +8,7 @@
 
 from . import early_signals
 
-early_signals.hold()  # before the imports below, which take about 0.3 s
+early_signals.record()  # before the imports below, which take about 0.3 s
 
 import os
 import sys
@@ -25,7 +25,7 @@
 from .session import Session
 
 
-def read(path: str) -> tuple[Config, Settings]:
+def read_config_and_settings(path: str) -> tuple[Config, Settings]:
     """Read the configuration and its settings from a file; raises ConfigError if they are invalid."""
     config = read_config(path)
     try:
@@ -48,13 +48,13 @@
     try:
         if not path:
             raise ConfigError("GW_CONFIG is not set or empty")
-        config, settings = read(path)
+        config, settings = read_config_and_settings(path)
         config = with_admin_address(config, os.environ)
         reducer = Session(settings, config.seed, config.sockets)
     except (ConfigError, ValueError) as error:
         print(f"latchturn: {error}", file=sys.stderr)
         return 2
-    server = Server(config, reducer, lambda: read(path))
+    server = Server(config, reducer, lambda: read_config_and_settings(path))
     try:
         trio.run(server.run, instruments=[server.poll_monitor])
     finally:
--- a/latchturn/benchlink.py
+++ b/latchturn/benchlink.py
@@ -67,7 +67,7 @@
 
 
 class WireError(Exception):
-    """A frame is malformed; the message tells what is wrong and at which offset of the input."""
+    """A frame is malformed; the message states what is wrong and at which offset of the input."""
 
 
 class SettingsError(Exception):
@@ -78,14 +78,14 @@
     """The settings by path. Each method returns one of them as the type in its name, or raises SettingsError."""
 
     def __init__(self, text: str) -> None:
-        self.values: dict[str, str] = {}
+        self.by_path: dict[str, str] = {}
         for line in text.split("\n"):
             key, separator, value = line.partition("=")
             if separator:
-                self.values[key.strip()] = value.strip()
+                self.by_path[key.strip()] = value.strip()
 
     def text(self, key: str, default: str | None = None) -> str:
-        value = self.values.get(key, default)
+        value = self.by_path.get(key, default)
         if value is None:
             raise SettingsError(f"setting {key} is missing")
         return value
--- a/latchturn/early_signals.py
+++ b/latchturn/early_signals.py
@@ -20,7 +20,7 @@
     _received.append(number)
 
 
-def hold() -> None:
+def record() -> None:
     """Record these signals from now on, until other handlers replace this one."""
     for number in SIGNALS:
         signal.signal(number, _receive)
@@ -36,7 +36,7 @@
         signal.signal(number, signal.SIG_IGN)
 
 
-def take() -> list[int]:
+def take_recorded() -> list[int]:
     """Return the numbers of the recorded signals in order of arrival, and clear the record."""
     numbers, _received[:] = list(_received), []
     return numbers
--- a/latchturn/net.py
+++ b/latchturn/net.py
@@ -456,7 +456,7 @@
         """Handle signals, first those received before this task ran."""
         signals = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
         with trio.open_signal_receiver(*signals) as received:
-            for signal_number in early_signals.take():
+            for signal_number in early_signals.take_recorded():
                 self._handle_signal(signal_number)
             async for signal_number in received:
                 self._handle_signal(signal_number)
--- a/latchturn/protocol.py
+++ b/latchturn/protocol.py
@@ -23,7 +23,8 @@
 MESSAGE_HEADER = struct.Struct(">HBQ")  # length of what follows the length, type, call
 PARAMETER_HEADER = struct.Struct(">BH")  # code, length of the value
 FRAME_HEADER = struct.Struct(">IQB")  # length of what follows the length, event number, kind
-RECORD = struct.Struct(">I4sHBBBHIQ")  # one `ExchangeRecord` in a frame
+# One `ExchangeRecord` in a frame: id, IPv4 address, port, state, zone, type, number, weight, start in Unix ms.
+RECORD = struct.Struct(">I4sHBBBHIQ")
 CURSOR = struct.Struct(">Q")
 WHOLE_NUMBER = re.compile(r"-?[0-9]{1,9}(\.0+)?", re.ASCII)  # value of a figure in a set-up
 
@@ -92,7 +93,7 @@
     wait_ms: int  # how long the sender waits for an answer
     called: str  # the called number
     description: bytes  # media description, passed on unchanged
-    figures: Mapping[str, int] = field(default_factory=dict)
+    figures: Mapping[str, int] = field(default_factory=dict)  # routing data such as destination and width, by name
     tenant: str = ""
 
 
@@ -151,7 +152,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HealthCheckResult:
-    """The response to a `HealthCheck`."""
+    """The response to a `HealthCheck`; on the wire, `passed` is in the cause parameter."""
 
     call: int
     passed: bool
@@ -219,21 +220,21 @@
     elif isinstance(message, ReleaseConfirmed):
         kind = MessageType.RELEASE_CONFIRMED
     else:
-        raise ValueError(f"{message} is not sent")
+        raise ValueError(f"{message} cannot be encoded")
     body = b"".join(PARAMETER_HEADER.pack(code, len(value)) + value for code, value in parameters)
     length = MESSAGE_HEADER.size - 2 + len(body)
     if length > MAX_MESSAGE_BYTES:
-        raise ValueError(f"message of {length} bytes")
+        raise ValueError(f"message of {length} bytes is too long")
     return MESSAGE_HEADER.pack(length, kind, message.call) + body
 
 
-# Types of messages that an exchange can send after an answer.
+# Types of the messages about a call that an exchange can send directly after an answer.
 TYPES_AFTER_ANSWER = (MessageType.ANSWER, MessageType.RELEASE, MessageType.PROGRESS, MessageType.RELEASE_CONFIRMED)
-GROUP_STATE_HEADER = bytes([MessageType.GROUP_STATE]) + bytes(8)
+GROUP_STATE_HEADER = bytes([MessageType.GROUP_STATE]) + bytes(8)  # without the length; the call is 0
 
 
 def contains_message_header(data: bytes, calls: Iterable[int]) -> bool:
-    """Return whether the data contains the header of a message for one of the calls, or of a group state.
+    """Return whether the data contains the header of a message about one of the calls, or of a group state.
 
     If an exchange sends only part of an answer, the bytes of the next message fill the gap, so that the lengths
     look valid. The header of that next message then lies inside the answer's description.
@@ -242,7 +243,7 @@
         return True
     for call in calls:
         at = data.find(call.to_bytes(8, "big"), 1)
-        if at > 0 and data[at - 1] in TYPES_AFTER_ANSWER:
+        if at > 0 and data[at - 1] in TYPES_AFTER_ANSWER:  # in a header, the type precedes the call
             return True
     return False
 
@@ -273,7 +274,7 @@
             while len(self._unread) - at >= self._length_bytes:
                 length = int.from_bytes(self._unread[at : at + self._length_bytes], "big")
                 if not self._min_length <= length <= self._max_length:
-                    raise ProtocolError(f"message of {length} bytes")
+                    raise ProtocolError(f"invalid message length {length}")
                 end = at + self._length_bytes + length
                 if len(self._unread) < end:
                     return
@@ -406,7 +407,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ExchangeRecord:
-    """One exchange of the exchange list, with the address at which it listens."""
+    """One entry of the exchange list, with the address at which the exchange listens."""
 
     entry: ListEntry
     address: tuple[str, int]
@@ -430,7 +431,7 @@
     if len(raw) == 4:
         return ListUpdate(0, None)
     if len(raw) < FRAME_HEADER.size:
-        raise ProtocolError(f"frame of {len(raw)} bytes")
+        raise ProtocolError(f"frame of {len(raw)} bytes is too short")
     _, number, kind = FRAME_HEADER.unpack_from(raw)
     if kind == 0:
         return ListUpdate(number, None)
@@ -438,15 +439,15 @@
         raise ProtocolError(f"unknown frame kind {kind}")
     if (len(raw) - FRAME_HEADER.size) % RECORD.size:
         raise ProtocolError("frame ends within a record")
-    listed = []
+    records = []
     for exchange_id, address, port, state, _zone, _kind, exchange_number, _weight, started_ms in RECORD.iter_unpack(
         raw[FRAME_HEADER.size :]
     ):
         if state not in LIST_STATE_BY_CODE:
             raise ProtocolError(f"exchange {exchange_id} has unknown state {state}")
         entry = ListEntry(exchange_id, exchange_number, LIST_STATE_BY_CODE[state], started_ms * 1000)
-        listed.append(ExchangeRecord(entry, (".".join(map(str, address)), port)))
-    return ListUpdate(number, ListKind.FULL if kind == 1 else ListKind.CHANGES, tuple(listed))
+        records.append(ExchangeRecord(entry, (".".join(map(str, address)), port)))
+    return ListUpdate(number, ListKind.FULL if kind == 1 else ListKind.CHANGES, tuple(records))
 
 
 def encode_cursor(number: int) -> bytes:
@@ -513,7 +514,7 @@
 
 def _known_update(command: Mapping[str, Any]) -> ListUpdate:
     nodes = command["nodes"]
-    listed = []
+    records = []
     for endpoint in nodes["endpoints"]:
         if endpoint["status"] not in LIST_STATE_BY_STATUS:
             raise ValueError(f"unknown status {endpoint['status']!r}")
@@ -523,9 +524,9 @@
             LIST_STATE_BY_STATUS[endpoint["status"]],
             int(endpoint["since_ms"]) * 1000,
         )
-        listed.append(ExchangeRecord(entry, parse_address(endpoint["address"])))
+        records.append(ExchangeRecord(entry, parse_address(endpoint["address"])))
     kind = ListKind.FULL if nodes["snapshot"] else ListKind.CHANGES
-    return ListUpdate(int(command["cursor"]), kind, tuple(listed))
+    return ListUpdate(int(command["cursor"]), kind, tuple(records))
 
 
 def parse_address(text: str) -> tuple[str, int]:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -226,8 +226,9 @@
 
     def test_signals_during_the_start_are_recorded_until_they_are_taken(self) -> None:
         code = (
-            "import os, signal; from latchturn import early_signals as e; e.hold();"
-            "os.kill(os.getpid(), signal.SIGHUP); os.kill(os.getpid(), signal.SIGUSR1); print(e.take(), e.take())"
+            "import os, signal; from latchturn import early_signals as e; e.record();"
+            "os.kill(os.getpid(), signal.SIGHUP); os.kill(os.getpid(), signal.SIGUSR1);"
+            "print(e.take_recorded(), e.take_recorded())"
         )
         result = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=30)
         self.assertEqual(result.stdout, f"{[int(signal.SIGHUP), int(signal.SIGUSR1)]} []\n")
@@ -235,9 +236,9 @@
     def test_signals_during_the_end_do_not_change_the_exit_code(self) -> None:
         # The interpreter restores default handlers when it exits, but ignored signals stay ignored.
         code = (
-            "import os, signal, atexit; from latchturn import early_signals as e; e.hold(); e.ignore();"
+            "import os, signal, atexit; from latchturn import early_signals as e; e.record(); e.ignore();"
             "os.kill(os.getpid(), signal.SIGHUP); os.kill(os.getpid(), signal.SIGUSR1);"
-            "print(e.take(), [signal.getsignal(n) is signal.SIG_IGN for n in e.SIGNALS])"
+            "print(e.take_recorded(), [signal.getsignal(n) is signal.SIG_IGN for n in e.SIGNALS])"
         )
         result = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=30)
         self.assertEqual((result.returncode, result.stdout), (0, "[] [True, True]\n"))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -15,7 +15,7 @@
 from latchturn import interface as i
 from latchturn import protocol as p
 from latchturn import session as s
-from latchturn.__main__ import read
+from latchturn.__main__ import read_config_and_settings
 from latchturn.net import Server
 from latchturn.session import limits
 
@@ -186,8 +186,8 @@
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "config.json"
             path.write_text(json.dumps({**good, "admin_addr": "127.0.0.1:3"}))
-            config, _ = read(str(path))
-            server = Server(config, Core(), lambda: read(str(path)))  # type: ignore[arg-type]
+            config, _ = read_config_and_settings(str(path))
+            server = Server(config, Core(), lambda: read_config_and_settings(str(path)))  # type: ignore[arg-type]
             texts = {"empty": "", "cut off": json.dumps(good)[:-30], "a list": "[]"}
             for name, spoil in BROKEN.items():
                 data = copy.deepcopy(good)
