--- a/latchturn/session/exchanges.py
+++ b/latchturn/session/exchanges.py
@@ -55,10 +55,10 @@
         if update.kind is None or update.number <= self.channel.cursor:
             return
         self.channel.cursor = max(self.channel.cursor, update.number)
-        named = {listed.entry.exchange for listed in update.records}
+        listed_ids = {record.entry.exchange for record in update.records}
         entries: list[i.ListEntry] = []  # for the decision module
-        for listed in update.records:
-            entry = listed.entry
+        for record in update.records:
+            entry = record.entry
             known = self.by_id.get(entry.exchange)
             if known is None:
                 if entry.state is i.ListState.GONE:
@@ -66,11 +66,11 @@
                 # A new id at a known address replaces the exchange there. Without this, calls for the old id would be
                 # sent to the new exchange.
                 for other in self.by_id.values():
-                    if other.address == listed.address and other.ident not in named:
+                    if other.address == record.address and other.ident not in listed_ids:
                         other.state = i.ListState.GONE
                         entries.append(i.ListEntry(other.ident, other.number, other.state, other.started_us))
                 known = self.by_id[entry.exchange] = Exchange(
-                    entry.exchange, entry.number, entry.state, entry.started_us, listed.address,
+                    entry.exchange, entry.number, entry.state, entry.started_us, record.address,
                     last_received_us=self.core.now,
                     last_alive_us=self.core.now,
                 )  # fmt: skip
@@ -83,13 +83,13 @@
                 known.refusing_since_us = 0
             elif entry.state is i.ListState.DRAINING:
                 self.withdraw_queued_attempts(known)
-            if listed.address != known.address:
-                known.address = listed.address
+            if record.address != known.address:
+                known.address = record.address
                 for link in list(known.links.values()):
                     self.writing.drop(link, CloseReason.ADDRESS_CHANGED)
         if update.kind is i.ListKind.FULL:
             for known in self.by_id.values():
-                if known.ident not in named:
+                if known.ident not in listed_ids:
                     known.state = i.ListState.GONE
         self.core.counters["list_updates"] += 1
         self.core.events.append(i.ExchangeList(update.kind, entries))
@@ -131,6 +131,7 @@
         exchange = self.by_id[link.exchange_id]
         exchange.consecutive_failures = 0
         self.liveness.message_received(exchange, link)
+        # Each complete message restarts the time limit of the partial one that follows it.
         link.partial_since_us = link.partial_since_us and self.core.now
         link.last_received_us, link.group_state_missing_since_us, link.unanswered_timeouts = self.core.now, 0, 0
         is_first_message = not link.first_received_us
@@ -201,10 +202,10 @@
             # end that attempt or call.
             self.core.counters["late_answers"] += 1
             call = self.calls.by_id.get(answer.call)
-            at = None
+            current_exchange = None
             if call is not None:
-                at = call.attempt.link.exchange_id if call.attempt is not None else call.standing_exchange
-            if at != exchange.ident:
+                current_exchange = call.attempt.link.exchange_id if call.attempt is not None else call.standing_exchange
+            if current_exchange != exchange.ident:
                 self.writing.queue(link, Release(answer.call, ReleaseCause.NORMAL))
             return
         call = attempt.call
--- a/latchturn/session/housekeeping.py
+++ b/latchturn/session/housekeeping.py
@@ -55,9 +55,11 @@
         After this process has been stopped for a time, messages that arrived meanwhile are still unread, and all peers
         would seem silent. So a late sweep draws no conclusions; the sweep after it does, late or not.
         """
-        late = bool(self.last_sweep_us) and self.core.now - self.last_sweep_us > SWEEP_INTERVAL_US + MAX_SWEEP_DELAY_US
+        is_late = (
+            bool(self.last_sweep_us) and self.core.now - self.last_sweep_us > SWEEP_INTERVAL_US + MAX_SWEEP_DELAY_US
+        )
         self.last_sweep_us = self.core.now
-        self.was_late = late and not self.was_late
+        self.was_late = is_late and not self.was_late
         return not self.was_late
 
     def _check_releases(self, stream: Caller | Link) -> None:
@@ -91,8 +93,12 @@
     def _is_silent_beside_newer(self, link: Link) -> bool:
         """Whether a link has never received a message although a link that came up later has: exchanges send first."""
         links = self.exchanges.by_id[link.exchange_id].links.values()
-        later = [k.first_received_us for k in links if k.up_since_us > link.up_since_us and k.first_received_us]
-        return not link.last_received_us and bool(later) and self.core.now - min(later) > UNRESPONSIVE_US
+        newer_first_us = [
+            k.first_received_us for k in links if k.up_since_us > link.up_since_us and k.first_received_us
+        ]
+        return (
+            not link.last_received_us and bool(newer_first_us) and self.core.now - min(newer_first_us) > UNRESPONSIVE_US
+        )
 
     def _check_caller(self, caller: Caller) -> None:
         """Close a connection whose message stays partial, or an idle one to which nothing has been sent in time."""
--- a/latchturn/session/limits.py
+++ b/latchturn/session/limits.py
@@ -76,15 +76,15 @@
 # --- callers ---
 
 RESERVED_DESCRIPTORS = 40  # for the interpreter, the listeners, the command channel and connections being closed
-DESCRIPTORS_PER_EXCHANGE = 3  # not 4: links for further attempts of a call are seldom all open
+DESCRIPTORS_PER_EXCHANGE = 3  # less than MAX_LINKS_PER_EXCHANGE: links for further attempts are seldom all open
 MIN_CALLERS_DIVISOR = 3  # callers may use at least the descriptor limit divided by this
 # A caller must get a message or a close within 3 s of its connect, and within 3 s of a message that stays partial. A
 # valid set-up may take 2 s and more to arrive in pieces.
 FIRST_MESSAGE_TIMEOUT_US = 2_600_000  # a caller without an open call to which nothing has been sent by then is closed
 CALLER_PARTIAL_TIMEOUT_US = 2_600_000  # for the rest of a partial message
 RECENT_ACTIVITY_US = 400_000  # a connection active this recently is closed to make room only if all others are too
-MAX_FAULTS = 40  # useless messages on one connection, less FAULTS_FORGIVEN_PER_SWEEP (one every 50 ms)
-FAULTS_FORGIVEN_PER_SWEEP = 5
+MAX_FAULTS = 40  # useless messages on one connection before it is closed, not counting forgiven ones
+FAULTS_FORGIVEN_PER_SWEEP = 5  # one every 50 ms
 MAX_OPEN_CALLS = 400  # calls without a final answer, on one connection
 MAX_CALLS = 4000  # open and standing calls in total
 RELEASE_HOLD_US = SECOND // 2  # a release waits this long for a connection that has carried a set-up
--- a/latchturn/session/machines.py
+++ b/latchturn/session/machines.py
@@ -18,33 +18,33 @@
 
 
 S = TypeVar("S", bound=IntEnum)
-M = TypeVar("M", bound=IntEnum)
+T = TypeVar("T", bound=IntEnum)
 
 
-class Machine(Generic[S, M]):
+class Machine(Generic[S, T]):
     """One transition table: `next_states` has the next state of each pair that can occur, `impossible` the reason for
     each other pair. ValueError if a pair is in neither or in both."""
 
     def __init__(
-        self, name: str, states: type[S], transition_kinds: type[M], next_states: Mapping[tuple[S, M], S],
-        impossible: Mapping[tuple[S, M], str],
+        self, name: str, states: type[S], transition_kinds: type[T], next_states: Mapping[tuple[S, T], S],
+        impossible: Mapping[tuple[S, T], str],
     ) -> None:  # fmt: skip
-        pairs = {(s, m) for s in states for m in transition_kinds}
+        pairs = {(s, t) for s in states for t in transition_kinds}
         if next_states.keys() & impossible.keys() or next_states.keys() | impossible.keys() != pairs:
             raise ValueError(f"the table of {name} does not list each pair of state and transition exactly once")
         self.name = name
         self.states, self.transition_kinds = states, transition_kinds
         self.impossible = dict(impossible)
-        self._rows = tuple(tuple(next_states.get((s, m)) for m in transition_kinds) for s in states)
+        self._rows = tuple(tuple(next_states.get((s, t)) for t in transition_kinds) for s in states)
 
-    def next_state(self, state: S, transition: M) -> S:
+    def next_state(self, state: S, transition: T) -> S:
         """The state after a transition; InvalidTransition if that cannot occur in this state."""
-        after = self._rows[state][transition]
-        if after is None:
+        following = self._rows[state][transition]
+        if following is None:
             raise InvalidTransition(
-                f"{self.name}: {state.name} met {transition.name}: {self.impossible[state, transition]}"
+                f"{self.name}: {transition.name} cannot occur in {state.name}: {self.impossible[state, transition]}"
             )
-        return after
+        return following
 
 
 # --- attempt: a set-up on its way to an exchange, or waiting there for its answer ---
@@ -81,8 +81,8 @@
     {
         (_A.QUEUED, _AT.WRITTEN): "a write that has not begun cannot be complete",
         (_A.QUEUED, _AT.TIME_OUT): "an unwritten attempt ends at its time-out, since there is nothing to give up",
-        (_A.SENDING, _AT.LEAVE): "a set-up leaves once",
-        (_A.OUT, _AT.LEAVE): "a set-up leaves once",
+        (_A.SENDING, _AT.LEAVE): "a set-up is written once",
+        (_A.OUT, _AT.LEAVE): "a set-up is written once",
         (_A.OUT, _AT.WRITTEN): "the write of a set-up completes once",
         (_A.GIVING_UP, _AT.LEAVE): "an attempt that is given up has been written before",
         (_A.GIVING_UP, _AT.TIME_OUT): "the only timer of the attempt has already expired",
--- a/latchturn/session/missed_ends.py
+++ b/latchturn/session/missed_ends.py
@@ -43,10 +43,10 @@
         if initial_lost:
             for known in self.exchanges.at_address(exchange.address):
                 known.initial_messages_lost_us = max(known.initial_messages_lost_us, link.up_since_us)
-        carried = [call for call in self.calls_without_link(exchange) if call.answer_link == link.ident]
-        for call in carried:
+        carried_calls = [call for call in self.calls_without_link(exchange) if call.answer_link == link.ident]
+        for call in carried_calls:
             call.end_missed_since_us = max(call.standing_since_us, link.last_received_us)
-        if carried or (initial_lost and self._may_have_missed_ends(exchange)):
+        if carried_calls or (initial_lost and self._may_have_missed_ends(exchange)):
             self.schedule_recovery_link(exchange)
 
     def _initial_messages_received(self, exchange: Exchange, link: Link, reason: CloseReason) -> bool:
--- a/latchturn/session/phases.py
+++ b/latchturn/session/phases.py
@@ -67,9 +67,9 @@
     def change_state(self, transition: PhaseTransition) -> None:
         """Change to the next phase and record it; raises InvalidTransition if the table has none."""
         before, self.state = self.state, PHASE.next_state(self.state, transition)
-        open_ = sum(call.standing_exchange is None for call in self.calls.by_id.values())
+        open_count = sum(call.standing_exchange is None for call in self.calls.by_id.values())
         text = f"{before.name} to {self.state.name} by {transition.name}: {len(self.callers.by_stream)} connections"
-        text += f", {open_} open calls, {len(self.calls.by_id) - open_} standing"
+        text += f", {open_count} open calls, {len(self.calls.by_id) - open_count} standing"
         self.core.record(TraceEvent.PHASE, reason=text)
 
     def is_work_done(self) -> bool:
@@ -161,16 +161,16 @@
         self.timers.set(DRAIN_INTERVAL_US, TimerKind.DRAIN, self.drain_count)
         if self.core.now - self.drain_since_us < DRAIN_MIN_OPEN_US and not self.has_successor:
             return
-        patient = self.core.now < self.force_close_from_us
+        before_force_close = self.core.now < self.force_close_from_us
         # The end of a standing call must reach its caller within 1 s, and the caller may not connect again. So these
         # connections stay open until the calls have ended, and new set-ups on them are refused. With a successor they
         # are closed too once `force_close_from_us` has come: exchanges report the ends to it, and it passes them on.
         needed = {call.caller_stream for call in self.calls.by_id.values()}
         for caller in self.callers.by_stream.values():
-            may_be_sending = patient and (
+            may_be_sending = before_force_close and (
                 caller.partial_since_us or self.core.now - caller.accepted_us < DRAIN_MIN_OPEN_US
             )
-            is_needed = caller.ident in needed and (patient or not self.has_successor)
+            is_needed = caller.ident in needed and (before_force_close or not self.has_successor)
             if caller.idle and not caller.finishing and not may_be_sending and not is_needed:
                 caller.close_reason = CloseReason.DRAINED
                 self.core.effects.append(CloseIdle(caller.ident))
@@ -260,8 +260,10 @@
             for call in [c for c in self.calls.by_id.values() if c.standing_exchange is None]:
                 self.calls.fail(call, "the program ends")
             self.close_idle_for_exit()
-        late_us = max(self.closing_since_us + SIGTERM_MAX_CLOSE_US, self.answer_all_by_us + SIGTERM_FLUSH_US)
-        return not self.callers.by_stream or self.core.now >= min(late_us, self.exit_by_us + SIGTERM_CLOSE_INTERVAL_US)
+        close_limit_us = max(self.closing_since_us + SIGTERM_MAX_CLOSE_US, self.answer_all_by_us + SIGTERM_FLUSH_US)
+        return not self.callers.by_stream or self.core.now >= min(
+            close_limit_us, self.exit_by_us + SIGTERM_CLOSE_INTERVAL_US
+        )
 
     def close_idle_for_exit(self) -> None:
         """Close the idle connections of callers for the exit."""
--- a/latchturn/session/state.py
+++ b/latchturn/session/state.py
@@ -159,9 +159,9 @@
     """
 
     ident: int
-    number: int
+    number: int  # by which set-ups name it as their destination
     state: i.ListState
-    started_us: int
+    started_us: int  # start of its process, as listed
     address: tuple[str, int]
     links: dict[int, Link] = field(default_factory=dict)  # by slot
     last_received_us: int = 0  # latest message from its address, at first the time when it was listed
--- a/tests/test_checking.py
+++ b/tests/test_checking.py
@@ -34,7 +34,7 @@
             for state in machine.states:
                 for move in machine.transition_kinds:
                     if reason := machine.impossible.get((state, move)):
-                        with self.assertRaisesRegex(InvalidTransition, "met"):
+                        with self.assertRaisesRegex(InvalidTransition, "cannot occur"):
                             machine.next_state(state, move)
                         self.assertGreater(len(reason), 10)
                     else:
