--- a/latchturn/brain.py
+++ b/latchturn/brain.py
@@ -550,7 +550,10 @@
             del self.queues[call.offer.destination]
 
     def _serve_queue(self, number: int) -> None:
-        """Send the queued calls for a destination, by falling value per circuit, and refuse those that are too late."""
+        """Send the queued calls for a destination, by falling value per circuit, and refuse those that are too late.
+
+        A call that is not admitted holds up the calls behind it, unless it only waits for its release time.
+        """
         queue = self.queues.get(number)
         if not queue:
             return
@@ -604,7 +607,7 @@
             self._shrink_window(sent_to, call.sent_us)
 
     def _shrink_window(self, sent_to: Exchange, sent_us: int) -> None:
-        """Narrow the window, once for all set-ups that were sent before it was last narrowed."""
+        """Narrow the window. A set-up sent before it was last narrowed has no effect, so a round of answers counts once."""
         if sent_us >= sent_to.last_shrunk_us:
             sent_to.last_shrunk_us = self.now
             sent_to.window = max(1.0, sent_to.window * WINDOW_SHRINK_FACTOR)
@@ -655,8 +658,9 @@
     def _note_attempt_end(self, call: Call, sent_to: Exchange, event: i.AttemptEnded) -> None:
         """Adjust what is known of exchanges and numbers after an attempt ended without an answered call.
 
-        Every refusal counts as an answer. PROCESSOR_FULL blocks the exchange for the wait that it asked for, and
-        for the release time at least. A refusal by a tandem or behind it starts a back-off of that tandem for the
+        Every refusal counts as an answer. A time-out counts as unanswered only if the exchange has answered nothing
+        since the set-up was sent. PROCESSOR_FULL blocks the exchange for the wait that it asked for, and for the
+        release time at least. A refusal by a tandem or behind it starts a back-off of that tandem for the
         destination, and a full processor at the destination narrows the destination's window as well.
         """
         call.awaiting_answer = False
--- a/latchturn/interface.py
+++ b/latchturn/interface.py
@@ -71,7 +71,9 @@
     width: int  # circuits that a call takes up on each trunk group
     holding_us: int  # mean duration of an answered call
     pools: tuple[int, ...] = ()  # topology POOLS: numbers of the pools that it may go to
-    at_most_once: bool = False  # an attempt that may have been executed must not be repeated or the call refused
+    at_most_once: bool = (
+        False  # after an attempt that may have been executed, a call is failed, not sent again or refused
+    )
 
 
 @dataclass(slots=True, frozen=True)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -70,8 +70,8 @@
         self.controller = Controller(settings, 7)
         self.now = 1000 * SECOND
         self.next_call = 1
-        self.attempts: dict[int, int] = {}
-        self.timers: list[tuple[int, int]] = []
+        self.attempts: dict[int, int] = {}  # call -> number of its last attempt
+        self.timers: list[tuple[int, int]] = []  # due time, token
         self.all_actions: list[i.Action] = []
         self.update_list(i.ListKind.CACHED, *[list_entry(k) for k in range(remote_exchanges + 1)])
         for k in range(1, remote_exchanges + 1):
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -364,7 +364,7 @@
 def test_call_that_cannot_be_sent_any_more_is_refused_at_once() -> None:
     """A later final answer would only keep the caller from redialling."""
     short = settings_with(max_attempts=1)
-    cases = [  # settings, time on the call when its first attempt ends, how it ends
+    cases = [  # settings, time from the offer to the end of the first attempt, outcome
         (short, 0, i.Outcome.NO_LINE),  # no attempt is left
         (SETTINGS, 700_000, i.Outcome.TIMED_OUT),  # the release time ends after its time in the queue
     ]
@@ -404,7 +404,7 @@
 
 
 def test_a_group_found_full_costs_a_call_one_attempt() -> None:
-    """The remote exchange has filled the group before its report arrives; else all attempts fail in milliseconds."""
+    """A call must not spend all its attempts within milliseconds on a group whose report arrives too late."""
     harness = ControllerHarness()
     call, actions = harness.offer(1)
     assert sent_to(actions) == [1]
