--- a/latchturn/checking/pairs.py
+++ b/latchturn/checking/pairs.py
@@ -40,6 +40,6 @@
     return rows
 
 
-def unmet_pairs(pairs: Pairs) -> list[Pair]:
-    """The possible pairs that were not met."""
+def uncovered_pairs(pairs: Pairs) -> list[Pair]:
+    """The possible pairs that did not occur."""
     return [pair for pair, count, reason in pair_counts(pairs) if not reason and not count]
--- a/latchturn/checking/plants.py
+++ b/latchturn/checking/plants.py
@@ -236,13 +236,13 @@
     _replace_method(attempts.Attempts, "prepare_set_up", wrap)
 
 
-@_planted_fault("mini", "each attempt is sent with the caller's whole wait")
+@_planted_fault("mini", "each attempt is sent with the full wait of the caller")
 def _whole_wait_promised() -> None:
     def wrap(original: Method) -> Method:
         def replacement(self: Any, attempt: Any) -> Any:
             m = original(self, attempt)
-            whole = attempt.call.set_up.wait_ms
-            return m and p.SetUp(m.call, m.class_name, whole, m.called, m.description)
+            full_wait_ms = attempt.call.set_up.wait_ms
+            return m and p.SetUp(m.call, m.class_name, full_wait_ms, m.called, m.description)
 
         return replacement
 
--- a/latchturn/checking/properties.py
+++ b/latchturn/checking/properties.py
@@ -115,7 +115,7 @@
 
 class NothingAfterDrain(Property):
     name = "drained"
-    statement = "No set-up is sent to an exchange drain_grace_us after the list reported it as draining or gone."
+    statement = "No set-up is sent to an exchange drain_grace_us or more after the list reported it draining or gone."
 
     def violation(self, history: History, observation: Observation) -> str | None:
         if observation.kind is not ObservationKind.SET_UP_SENT or observation.attempt is None:
--- a/latchturn/checking/scopes.py
+++ b/latchturn/checking/scopes.py
@@ -102,7 +102,7 @@
         ("full",), rare_choices=2, leaves_out="new ids, callers that give up, group states",
     ),
     Scope(
-        "connects", "a link that comes up late, is refused or stays silent while an attempt waits for it",
+        "connects", "a link that connects late, is refused or does not answer while an attempt waits for it",
         1, 1, {"answer": 9, "refuse": 2, "refuse_link": 1, "accept": 9, "drain": 1, "between": 1, "give_up": 1},
         ("full",), rare_choices=2, leaves_out="deaths, new ids, slow writes",
     ),
--- a/latchturn/checking/states.py
+++ b/latchturn/checking/states.py
@@ -132,7 +132,7 @@
             shared_index = _SHARED_INDEX.get(id(value))
             return repr(value) if shared_index is None else shared_index
         if (object_id := id(value)) in self.seen:
-            return ("met", self.seen[object_id])
+            return ("seen", self.seen[object_id])
         if kind is set or kind is frozenset:
             return sorted((encode(v) for v in value), key=repr)
         self.seen[object_id] = len(self.seen)
--- a/latchturn/cli/check.py
+++ b/latchturn/cli/check.py
@@ -79,7 +79,7 @@
     if show_pairs:
         for (machine, state, move), count, reason in pairs.pair_counts(pair_totals):
             click.echo(f"{machine:<11}{state:<17}{move:<10}{count:>9}  {reason and 'never: ' + reason}")
-        click.echo(f"{len(pairs.unmet_pairs(pair_totals))} possible pairs were not met")
+        click.echo(f"{len(pairs.uncovered_pairs(pair_totals))} possible pairs did not occur")
     sys.exit(exit_code)
 
 
--- a/tests/test_checking.py
+++ b/tests/test_checking.py
@@ -16,7 +16,7 @@
 from latchturn.checking import plants, traces
 from latchturn.checking.environment import Environment
 from latchturn.checking.explorer import explore
-from latchturn.checking.pairs import pair_counts, unmet_pairs
+from latchturn.checking.pairs import pair_counts, uncovered_pairs
 from latchturn.checking.properties import PROPERTIES
 from latchturn.checking.scopes import EXHAUSTIVE, SCOPES
 from latchturn.checking.states import fingerprint, load, save
@@ -115,9 +115,9 @@
             (one.states, one.transitions, one.depth, one.ends, one.pairs),
             (three.states, three.transitions, three.depth, three.ends, three.pairs),
         )
-        met = {pair[0] for pair, count, _ in pair_counts(one.pairs) if count}
-        self.assertEqual(met, {"attempt", "call", "connection"})
-        self.assertIn(("phase", "OPEN", "DRAIN"), unmet_pairs(one.pairs))
+        covered = {pair[0] for pair, count, _ in pair_counts(one.pairs) if count}
+        self.assertEqual(covered, {"attempt", "call", "connection"})
+        self.assertIn(("phase", "OPEN", "DRAIN"), uncovered_pairs(one.pairs))
 
     def test_a_run_stopped_by_the_time_limit_is_not_exhausted(self) -> None:
         self.assertFalse(explore("two", 1, 0.2).exhausted)
