--- a/latchturn/cli/check.py
+++ b/latchturn/cli/check.py
@@ -79,7 +79,7 @@
     if show_pairs:
         for (machine, state, move), count, reason in pairs.pair_counts(pair_totals):
             click.echo(f"{machine:<11}{state:<17}{move:<10}{count:>9}  {reason and 'never: ' + reason}")
-        click.echo(f"{len(pairs.unmet_pairs(pair_totals))} possible pairs were not met")
+        click.echo(f"{len(pairs.uncovered_pairs(pair_totals))} possible pairs did not occur")
     sys.exit(exit_code)
 
 
@@ -145,12 +145,12 @@
 
     work = [(s, steps) for s in range(seed, seed + count)]
     with multiprocessing.get_context("fork").Pool(min(jobs, count)) as pool:
-        for result in pool.starmap(walks.walk, work):
-            click.echo(f"seed {result.seed}: {result.steps} steps, {result.calls} calls, {result.seconds:.1f} s")
-            if result.violated:
-                shortened = walks.shorten(result.choices, result.violated)
+        for walked in pool.starmap(walks.walk, work):
+            click.echo(f"seed {walked.seed}: {walked.steps} steps, {walked.calls} calls, {walked.seconds:.1f} s")
+            if walked.violated:
+                shortened = walks.shorten(walked.choices, walked.violated)
                 _report_violation(
-                    traces.Trace(traces.VERSION, "wide", shortened, result.violated, result.message), file
+                    traces.Trace(traces.VERSION, "wide", shortened, walked.violated, walked.message), file
                 )
                 sys.exit(BROKEN)
 
