--- a/latchturn/brain.py
+++ b/latchturn/brain.py
@@ -607,7 +607,7 @@
             self._shrink_window(sent_to, call.sent_us)
 
     def _shrink_window(self, sent_to: Exchange, sent_us: int) -> None:
-        """Narrow the window. A set-up sent before it was last narrowed has no effect, so a round of answers counts once."""
+        """Narrow the window, unless the set-up was sent before it was last narrowed: a round counts only once."""
         if sent_us >= sent_to.last_shrunk_us:
             sent_to.last_shrunk_us = self.now
             sent_to.window = max(1.0, sent_to.window * WINDOW_SHRINK_FACTOR)
