--- a/rig/discovery.py
+++ b/rig/discovery.py
@@ -12,7 +12,7 @@
 
 from .clock import now_us
 from .record import ListEvent, Record
-from .sockets import DeafListener, host_of, reset, send_all
+from .sockets import SuspendableListener, close_with_reset, loopback_address, send_all
 
 HEARTBEAT_S = 1.0
 EMPTY_FRAME = bytes(4)
@@ -48,8 +48,8 @@
         self.record = record
         self.endpoints: dict[int, Endpoint] = {}
         self.events: list[Published] = []
-        self.host = host_of(record.seed)
-        self.listener = DeafListener(self.host, port)
+        self.host = loopback_address(record.seed)
+        self.listener = SuspendableListener(self.host, port)
         self.reachable_us = 0  # since when it can be reached, 0 while it cannot
         self._silent = False
         self._delay_s = 0.0
@@ -105,7 +105,7 @@
 
     def _drop_connections(self) -> None:
         for sock in list(self._connections):
-            reset(sock)
+            close_with_reset(sock)
         self._connections.clear()
 
     def go_down(self, deaf: bool) -> None:
@@ -113,7 +113,7 @@
         self.reachable_us = 0
         if deaf:
             self._silent = True
-            self.listener.deafen()
+            self.listener.suspend()
         else:
             self._drop_connections()
             self.listener.close()
@@ -129,7 +129,7 @@
             return
         silent, self._silent = self._silent, False
         if silent:
-            self.listener.hear()
+            self.listener.resume()
         else:
             await self.listener.open()
         self.reachable_us = now_us()
--- a/rig/exchange.py
+++ b/rig/exchange.py
@@ -21,11 +21,11 @@
 from latchturn import protocol as p
 
 from .clock import now_us
-from .sockets import reset, send_all
+from .sockets import close_with_reset, send_all
 
 GROUP_STATES_MOST = 4  # open connections that are told group states
-RECEIVE = 64 * 1024
-PIECES_S = (0.001, 0.008)  # between two pieces of a message: a connection still carries a hundred a second
+RECEIVE_BYTES = 64 * 1024
+PIECE_PAUSE_S = (0.001, 0.008)  # between two pieces of a message: a connection still carries a hundred a second
 
 
 @dataclass(slots=True)
@@ -52,7 +52,7 @@
     number: int
     peer_port: int
     waiting: deque[bytes]
-    wake: trio.Event
+    writer_wakeup: trio.Event
     closed: bool = False
 
 
@@ -150,7 +150,7 @@
         """Hear messages until the connection ends."""
         decoder = p.message_decoder()
         with contextlib.suppress(OSError, trio.ClosedResourceError, p.ProtocolError):
-            while data := await connection.sock.recv(RECEIVE):
+            while data := await connection.sock.recv(RECEIVE_BYTES):
                 for message in decoder.feed(data):
                     self.hear(connection, message)
 
@@ -163,16 +163,16 @@
                     if self.happens(self.options.pieces):
                         middle = self.random.randrange(1, len(data))
                         await send_all(connection.sock, data[:middle])
-                        await trio.sleep(self.random.uniform(*PIECES_S))
+                        await trio.sleep(self.random.uniform(*PIECE_PAUSE_S))
                         data = data[middle:]
                     await send_all(connection.sock, data)
-                connection.wake = trio.Event()
-                await connection.wake.wait()
+                connection.writer_wakeup = trio.Event()
+                await connection.writer_wakeup.wait()
 
     def send(self, connection: Connection, data: bytes) -> None:
         """Put bytes in line for a connection."""
         connection.waiting.append(data)
-        connection.wake.set()
+        connection.writer_wakeup.set()
 
     def drop(self, connection: Connection, abort: bool = False) -> None:
         """A connection has ended: the set-ups open on it are given up."""
@@ -181,7 +181,7 @@
         connection.closed = True
         self.connections.remove(connection)
         if abort:
-            reset(connection.sock)
+            close_with_reset(connection.sock)
         else:
             connection.sock.close()
         for call in [c for c in self.calls.values() if c.connection is connection and not c.stands]:
--- a/rig/program.py
+++ b/rig/program.py
@@ -16,7 +16,7 @@
 
 from .clock import MILLISECOND, SECOND, now_us
 from .record import Process, Record
-from .sockets import host_of
+from .sockets import loopback_address
 
 ROOT = Path(__file__).parent.parent
 CLASS_NAMES = ("premium quote", "renewal quote")
@@ -64,7 +64,7 @@
         deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
         self.command = deploy["run"]
         self.record = record
-        self.address = (host_of(record.seed), port)
+        self.address = (loopback_address(record.seed), port)
         self.folder = tempfile.TemporaryDirectory()
         self.path = Path(self.folder.name) / "config.json"
         self.config: dict[str, object] = {
--- a/rig/proxy.py
+++ b/rig/proxy.py
@@ -12,9 +12,9 @@
 
 from .clock import SECOND, now_us
 from .record import Attempt, AttemptEnd, Record
-from .sockets import DeafListener, host_of, reset, send_all
+from .sockets import SuspendableListener, close_with_reset, loopback_address, send_all
 
-RECEIVE = 64 * 1024
+RECEIVE_BYTES = 64 * 1024
 
 
 @dataclass(slots=True, eq=False)
@@ -22,12 +22,12 @@
     """One connection from the program to the exchange."""
 
     number: int
-    process: int
+    process_number: int
     near: trio.socket.SocketType
     accepted_us: int = 0
     far: trio.socket.SocketType | None = None
     held: deque[bytes] = field(default_factory=deque)  # on the way to the exchange
-    wake: trio.Event = field(default_factory=trio.Event)
+    writer_wakeup: trio.Event = field(default_factory=trio.Event)
     open_attempts: dict[int, Attempt] = field(default_factory=dict)
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
     far_port: int = 0  # by which the exchange knows it
@@ -45,12 +45,12 @@
         self.target = target
         self.record = record
         self.random = random.Random(seed)
-        self.host = host_of(record.seed)
-        self.listener = DeafListener(self.host, port)
+        self.host = loopback_address(record.seed)
+        self.listener = SuspendableListener(self.host, port)
         self.links: list[Link] = []
         self.by_far_port: dict[int, Link] = {}  # also those that are closed
         self.accepted = 0
-        self.process = 0  # number of the program's process
+        self.process_number = 0  # number of the program's process
         self._passes = trio.Event()
         self._passes.set()
 
@@ -67,16 +67,16 @@
     def cut(self) -> None:
         """The network to the exchange is cut: open connections stay open and silent, new ones never come up."""
         self._passes = trio.Event()
-        self.listener.deafen()
+        self.listener.suspend()
 
     def heal(self) -> None:
         """The network passes again, with all that was held."""
-        self.listener.hear()
+        self.listener.resume()
         self._passes.set()
 
     def lose_machine(self) -> None:
         """The machine vanishes: what is open stays silent for ever."""
-        self.listener.deafen()
+        self.listener.suspend()
         for link in self.links:
             link.lost = True
 
@@ -86,7 +86,7 @@
         for link in list(self.links):
             if link.lost:
                 self.end_link(link, AttemptEnd.BROKEN, abort=True)
-        self.listener.hear()
+        self.listener.resume()
         self._passes.set()
 
     def refuse(self) -> None:
@@ -110,7 +110,7 @@
                 link.halved = True
                 for attempt in list(link.open_attempts.values()):
                     self.end_attempt(link, attempt.call, AttemptEnd.BROKEN)
-                reset(link.near)
+                close_with_reset(link.near)
 
     def forget_some(self, share: float) -> None:
         """The network forgets some of the connections: they stay open, and nothing passes any more."""
@@ -122,7 +122,7 @@
     async def forward(self, near: trio.socket.SocketType) -> None:
         """One connection, both ways."""
         self.accepted += 1
-        link = Link(self.accepted, self.process, near, accepted_us=now_us())
+        link = Link(self.accepted, self.process_number, near, accepted_us=now_us())
         self.links.append(link)
         try:
             with link.scope:
@@ -150,7 +150,7 @@
         for attempt in list(link.open_attempts.values()):
             self.end_attempt(link, attempt.call, why)
         if abort:
-            reset(link.near)
+            close_with_reset(link.near)
         else:
             link.near.close()
         if link.far is not None:
@@ -168,11 +168,11 @@
         decoder = p.message_decoder()
         abort = False
         try:
-            while data := await link.near.recv(RECEIVE):
+            while data := await link.near.recv(RECEIVE_BYTES):
                 for message in decoder.feed(data):
                     self.note_to_exchange(link, message)
                 link.held.append(data)
-                link.wake.set()
+                link.writer_wakeup.set()
         except (OSError, trio.ClosedResourceError):
             abort = True
         if link.halved:
@@ -187,8 +187,8 @@
                 while link.held:
                     await self.passes(link)
                     await send_all(link.far, link.held.popleft())
-                link.wake = trio.Event()
-                await link.wake.wait()
+                link.writer_wakeup = trio.Event()
+                await link.writer_wakeup.wait()
         except (OSError, trio.ClosedResourceError):
             await trio.sleep_forever()  # `pump_to_program` sees the end
 
@@ -198,7 +198,7 @@
         decoder = p.message_decoder()
         readable, abort = True, False
         try:
-            while data := await link.far.recv(RECEIVE):
+            while data := await link.far.recv(RECEIVE_BYTES):
                 await self.passes(link)
                 if link.halved:
                     continue
--- a/rig/record.py
+++ b/rig/record.py
@@ -35,12 +35,12 @@
 
     ident: int
     client: str
-    process: int  # number of the program's process that accepted its connection
+    process_number: int  # number of the program's process that accepted its connection
     sent_us: int
     wait_us: int
-    bad: bool = False  # it cannot be used, or uses an id again: what it gets is not checked
+    unchecked: bool = False  # it cannot be used, or uses an id again: what it gets is not checked
     gave_up_us: int = 0
-    finals: list[tuple[int, str]] = field(default_factory=list)  # when, and what
+    final_answers: list[tuple[int, str]] = field(default_factory=list)  # when, and what
     answered_us: int = 0
     description: bytes = b""
     ended_by_client_us: int = 0
--- a/rig/rules.py
+++ b/rig/rules.py
@@ -47,21 +47,21 @@
 def answers(record: Record) -> Iterator[Violation]:
     """Each set-up gets one final answer in time, unless its client gave it up."""
     for call in record.calls.values():
-        if call.bad:
+        if call.unchecked:
             continue
-        if len(call.finals) > 1:
-            yield Violation("second answer", call.finals[1][0], f"{_name(call)}: {call.finals}")
-        if call.finals:
-            late = call.finals[0][0] - call.sent_us - call.wait_us
+        if len(call.final_answers) > 1:
+            yield Violation("second answer", call.final_answers[1][0], f"{_name(call)}: {call.final_answers}")
+        if call.final_answers:
+            late = call.final_answers[0][0] - call.sent_us - call.wait_us
             if late > LATE_US + _slack_us(record) and not call.gave_up_us:
-                yield Violation("lost", call.finals[0][0], f"{_name(call)}: answered {late // 1000} ms late")
+                yield Violation("lost", call.final_answers[0][0], f"{_name(call)}: answered {late // 1000} ms late")
         elif not call.gave_up_us and (why := _lost(record, call)):
             yield Violation("lost", call.sent_us, f"{_name(call)}: {why}")
 
 
 def _lost(record: Record, call: Call) -> str:
     """Why a set-up without an answer is lost, nothing if it is not."""
-    process = record.processes[call.process - 1]
+    process = record.processes[call.process_number - 1]
     due = call.sent_us + call.wait_us + LATE_US + _slack_us(record)
     if call.closed_us and call.closed_us - call.sent_us <= CROSSING_US + record.stall_us:
         return ""
@@ -79,7 +79,7 @@
     """An answer is what an exchange made for this call."""
     made = {call for _, call in record.standing}
     for call in record.calls.values():
-        if call.answered_us and not call.bad and call.answered_us < record.ended_us - REPORTED_US:
+        if call.answered_us and not call.unchecked and call.answered_us < record.ended_us - REPORTED_US:
             words = call.description.split()
             if call.ident not in made or len(words) < 3 or not words[2].startswith(b"%016x" % call.ident):
                 yield Violation("lost", call.answered_us, f"{_name(call)}: nobody made {call.description!r}")
@@ -104,7 +104,7 @@
         if standing.delivered_us:
             due = min(due, max(standing.delivered_us, call.answered_us) + TOLD_US)
         due += _slack_us(record)
-        process = record.processes[call.process - 1]
+        process = record.processes[call.process_number - 1]
         if due >= min(_last_moment(process), record.ended_us):
             continue
         if not call.released_us or call.released_us > due:
@@ -122,7 +122,7 @@
 def _owed_an_end(call: Call, standing: Standing) -> bool:
     """Whether the client still has to hear of the end of a call: not that of an attempt which stood at an exchange
     unheard, while another exchange's answer is the one that the client has."""
-    if not call.answered_us or call.bad or call.gave_up_us or call.ended_by_client_us:
+    if not call.answered_us or call.unchecked or call.gave_up_us or call.ended_by_client_us:
         return False
     answered_there = standing.answered_us <= call.answered_us and standing.description == call.description
     return answered_there and standing.ended_us - standing.answered_us > ANSWER_RACE_US
@@ -144,7 +144,7 @@
         by_call[attempt.call].append(attempt)
     for ident, tried in by_call.items():
         call = record.calls.get(ident)
-        if call is None or call.bad:
+        if call is None or call.unchecked:
             continue
         if len(tried) > record.max_attempts:
             yield Violation("attempts", tried[-1].sent_us, f"{_name(call)}: {len(tried)} attempts")
@@ -240,7 +240,7 @@
 
 
 def _name(call: Call) -> str:
-    return f"call {call.ident:016x} ({call.client}, process {call.process})"
+    return f"call {call.ident:016x} ({call.client}, process {call.process_number})"
 
 
 RULES: tuple[Callable[[Record], Iterator[Violation]], ...] = (
--- a/rig/scenario.py
+++ b/rig/scenario.py
@@ -178,7 +178,7 @@
 
 
 async def _deaf(number: int, seconds: float, trial: Trial) -> None:
-    await trial.deaf_for(number, seconds)
+    await trial.delay_connects(number, seconds)
 
 
 async def _break(number: int, share: float, how: str, trial: Trial) -> None:
--- a/rig/site.py
+++ b/rig/site.py
@@ -17,7 +17,7 @@
 from .program import ROOT
 from .proxy import Proxy
 from .record import Record, Standing
-from .sockets import free_port, host_of
+from .sockets import free_port, loopback_address
 
 
 class Site:
@@ -28,7 +28,7 @@
         self.number = number
         self.options = options
         self.record = record
-        self.proxy = Proxy(ident, port, free_port(host_of(record.seed)), record, record.seed + ident)
+        self.proxy = Proxy(ident, port, free_port(loopback_address(record.seed)), record, record.seed + ident)
         self.process: subprocess.Popen[str] | None = None
         self.ended = False
 
--- a/rig/soak.py
+++ b/rig/soak.py
@@ -35,7 +35,7 @@
     plan: scenario.Plan, record: Record, violations: list[rules.Violation], passed_over: list[rules.Violation]
 ) -> dict[str, object]:
     """What one trial has to report, as plain values."""
-    calls = [call for call in record.calls.values() if not call.bad]
+    calls = [call for call in record.calls.values() if not call.unchecked]
     return {
         "seed": plan.seed,
         "families": list(plan.families),
--- a/rig/sockets.py
+++ b/rig/sockets.py
@@ -11,22 +11,22 @@
 import trio
 
 BACKLOG = 128
-HOSTS = 250
+HOSTS_PER_SUBNET = 250
 FIRST_PORT = 20_000  # below those that the system gives to connects
-_ports = itertools.count(FIRST_PORT + os.getpid() * 16 % 10_000)  # the same trial may run twice at once
-FILLERS = 3  # connections that fill a queue of length 0; the system lets one or two more in than it says
-ABORT = struct.pack("ii", 1, 0)  # SO_LINGER: on, 0 s
+_port_candidates = itertools.count(FIRST_PORT + os.getpid() * 16 % 10_000)  # the same trial may run twice at once
+QUEUE_FILLERS = 3  # connections that fill a queue of length 0; the system lets one or two more in than it says
+LINGER_ZERO = struct.pack("ii", 1, 0)  # SO_LINGER: on, 0 s
 
 
-def host_of(seed: int) -> str:
+def loopback_address(seed: int) -> str:
     """An address of the loopback for the trial of a seed alone, so that trials side by side share no port."""
-    return f"127.1.{seed // HOSTS % HOSTS}.{1 + seed % HOSTS}"
+    return f"127.1.{seed // HOSTS_PER_SUBNET % HOSTS_PER_SUBNET}.{1 + seed % HOSTS_PER_SUBNET}"
 
 
 def free_port(host: str) -> int:
     """A port of an address that nothing listens at, and that no other call in this process has given."""
     while True:
-        port = next(_ports)
+        port = next(_port_candidates)
         try:
             with socket.create_server((host, port)):
                 return port
@@ -34,10 +34,10 @@
             continue  # somebody else's
 
 
-def reset(sock: trio.socket.SocketType) -> None:
+def close_with_reset(sock: trio.socket.SocketType) -> None:
     """Close a connection so that its peer sees a reset."""
     with contextlib.suppress(OSError):
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ABORT)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
     sock.close()
 
 
@@ -48,7 +48,7 @@
         view = view[await sock.send(view) :]
 
 
-class DeafListener:
+class SuspendableListener:
     """A listener that can stop hearing: its queue is filled, so that further connects get no answer at all.
 
     The system drops the first packet of a connect to a full queue; the peer repeats it after 1 s and 3 s, so a connect
@@ -60,10 +60,10 @@
         self._listener: trio.socket.SocketType | None = None
         self._fillers: list[socket.socket] = []
         self._filler_ports: set[int] = set()
-        self._hears = trio.Event()
+        self._accepting = trio.Event()
 
     @property
-    def refuses(self) -> bool:
+    def is_closed(self) -> bool:
         """Whether nothing listens."""
         return self._listener is None
 
@@ -74,38 +74,38 @@
         await sock.bind(self.address)
         sock.listen(BACKLOG)
         self._listener = sock
-        self._hears.set()
+        self._accepting.set()
 
     def close(self) -> None:
         """Listen no more: connects are refused."""
-        self._drop_fillers()
+        self._close_fillers()
         if self._listener is not None:
             self._listener.close()
             self._listener = None
-        self._hears = trio.Event()
+        self._accepting = trio.Event()
 
-    def deafen(self) -> None:
+    def suspend(self) -> None:
         """Answer no connect from now on."""
-        if self._listener is None or not self._hears.is_set():
+        if self._listener is None or not self._accepting.is_set():
             return
-        self._hears = trio.Event()
+        self._accepting = trio.Event()
         self._listener.listen(0)
-        for _ in range(FILLERS):
+        for _ in range(QUEUE_FILLERS):
             filler = socket.socket()
             filler.setblocking(False)
             filler.connect_ex(self.address)
             self._fillers.append(filler)
             self._filler_ports.add(filler.getsockname()[1])
 
-    def hear(self) -> None:
+    def resume(self) -> None:
         """Answer connects again."""
         if self._listener is None:
             return
-        self._drop_fillers()
+        self._close_fillers()
         self._listener.listen(BACKLOG)
-        self._hears.set()
+        self._accepting.set()
 
-    def _drop_fillers(self) -> None:
+    def _close_fillers(self) -> None:
         for filler in self._fillers:
             filler.close()
         self._fillers.clear()
@@ -113,14 +113,14 @@
     async def accept(self) -> trio.socket.SocketType:
         """The next connection of a peer, not of a filler."""
         while True:
-            await self._hears.wait()
+            await self._accepting.wait()
             listener = self._listener
             if listener is None:
                 continue
             try:
                 # What waits in the queue of a deaf listener stays there, so that it stays full.
                 await trio.lowlevel.wait_readable(listener)
-                if not self._hears.is_set():
+                if not self._accepting.is_set():
                     continue
                 sock, (_, port) = await listener.accept()
             except (OSError, trio.ClosedResourceError):
--- a/rig/trial.py
+++ b/rig/trial.py
@@ -11,14 +11,14 @@
 
 from latchturn import protocol as p
 
-from .client import ABSENT, HABITS, Client, Ids
+from .client import ABSENT_PROFILE, PROFILES, CallIds, Client
 from .clock import SECOND, now_us
 from .discovery import Discovery
 from .exchange import Options
 from .program import Program
 from .record import Record
 from .site import Site
-from .sockets import free_port, host_of
+from .sockets import free_port, loopback_address
 
 FIRST_IDENT = 101
 NEW_CONNECTIONS_S = 0.3  # after SIGTERM
@@ -33,7 +33,7 @@
     def __init__(self, record: Record, exchanges: int, clients: int, crowd: int, absent: int = 0) -> None:
         self.record = record
         self.crowd = crowd
-        self.host = host_of(record.seed)
+        self.host = loopback_address(record.seed)
         self.discovery = Discovery(free_port(self.host), record)
         self.program = Program(record, free_port(self.host), self.discovery.port)
         self.options = Options()
@@ -43,10 +43,12 @@
         }
         self.retired: list[Site] = []
         self.next_ident = FIRST_IDENT + 100
-        ids = Ids(record.seed)
+        call_ids = CallIds(record.seed)
         self.clients = [
-            Client(habits, self.program.address, record, ids, list(self.sites), record.seed * 100 + k)
-            for k, habits in enumerate([HABITS[k % len(HABITS)] for k in range(clients)] + [ABSENT] * absent)
+            Client(profile, self.program.address, record, call_ids, list(self.sites), record.seed * 100 + k)
+            for k, profile in enumerate(
+                [PROFILES[k % len(PROFILES)] for k in range(clients)] + [ABSENT_PROFILE] * absent
+            )
         ]
         self.nursery: trio.Nursery
 
@@ -94,7 +96,7 @@
         self.program.write_config(self.discovery.known())
         self.program.start()
         for site in (*self.sites.values(), *self.retired):
-            site.proxy.process = self.program.current.number
+            site.proxy.process_number = self.program.current.number
         self.nursery.start_soon(self.program.watch_exit)
         with trio.move_on_after(10):
             while not await self.passes_test():
@@ -269,12 +271,12 @@
             await new.wait_listening()
             target, new.proxy = new.proxy.target, old.proxy
             new.proxy.exchange = new.ident
-            if new.proxy.listener.refuses:
+            if new.proxy.listener.is_closed:
                 await new.proxy.listen_again()
             new.proxy.new_machine(target)
         else:
             await self.start_site(new)
-            new.proxy.process = self.program.current.number
+            new.proxy.process_number = self.program.current.number
         self.sites[old.number] = new
         self.discovery.publish(new.endpoint)
         self.note(f"{new.ident} in place of {old.ident}, {'same' if same_address else 'another'} address")
@@ -287,14 +289,14 @@
         await trio.sleep(gone_after_s)
         await self.die(number, 0.0, 0.3, same_address)
 
-    async def deaf_for(self, number: int, seconds: float) -> None:
+    async def delay_connects(self, number: int, seconds: float) -> None:
         """Connects to an exchange come up late, by the network's repeats."""
         site = self.sites[number]
         self.note(f"connects to {site.ident} late for {seconds:.1f} s")
-        site.proxy.listener.deafen()
+        site.proxy.listener.suspend()
         await trio.sleep(seconds)
         if site is self.sites[number]:
-            site.proxy.listener.hear()
+            site.proxy.listener.resume()
 
     def break_links(self, number: int, share: float, how: str) -> None:
         """Some connections to an exchange are reset, closed or forgotten."""
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -36,7 +36,7 @@
         """A call that stands at exchange 7."""
         call = self.call(ident)
         call.answered_us = call.sent_us + int(after_s * SECOND)
-        call.finals = [(call.answered_us, "answered")]
+        call.final_answers = [(call.answered_us, "answered")]
         call.description = b"v=0 20000 %016x\xff" % ident
         self.record.standing[7, ident] = Standing(ident, 7, call.answered_us, call.description)
         return call
@@ -57,7 +57,7 @@
             (0.1, [second], ["second answer"]),
         ):
             self.setUp()
-            self.answered(1, late_s).finals += again
+            self.answered(1, late_s).final_answers += again
             self.assertEqual(self.broken(), rule, f"{late_s} {again}")
 
     def test_a_set_up_without_an_answer_is_lost_but_for_what_the_page_excuses(self) -> None:
