--- a/rig/client.py
+++ b/rig/client.py
@@ -138,7 +138,7 @@
                 await trio.sleep(self.random.uniform(0, 0.3))
                 if not call.final_answers:
                     call.gave_up_us = now_us()
-                    self.send(p.encode(p.Release(call.ident, p.ReleaseCause.NORMAL)))
+                    self.send(p.encode(p.Release(call.call_id, p.ReleaseCause.NORMAL)))
 
     def happens(self, share: float) -> bool:
         """Draw whether something of a given share happens; without a draw where it never does."""
@@ -190,7 +190,7 @@
                     await send_all(sock, data)
                     if call is not None:
                         call.sent_us = now_us()
-                        self.record.calls[call.ident] = call
+                        self.record.calls[call.call_id] = call
                 self.writer_wakeup = trio.Event()
                 await self.writer_wakeup.wait()
         except (OSError, trio.ClosedResourceError):
@@ -209,7 +209,7 @@
         if choice == 2 and self.unanswered:
             call = self.random.choice(list(self.unanswered.values()))
             call.unchecked = True
-            return p.encode(p.SetUp(call.ident, "none", 100, "00", b"x", {"dest": 1, "width": 1}, TENANT))
+            return p.encode(p.SetUp(call.call_id, "none", 100, "00", b"x", {"dest": 1, "width": 1}, TENANT))
         if choice == 3:
             return p.encode(p.SetUp(self.call_ids.next(), "none", 0, "xyz", b"x", {"dest": 1, "width": 7}, "nobody"))
         return p.encode(p.HealthCheck(self.random.getrandbits(63)))
@@ -226,7 +226,7 @@
         except (OSError, trio.ClosedResourceError):
             pass
         except p.ProtocolError as error:
-            self.record.strange.append(f"{self.profile.name} cannot read the program: {error}")
+            self.record.unexpected_messages.append(f"{self.profile.name} cannot read the program: {error}")
         scope.cancel()
 
     async def receive(self, sock: trio.socket.SocketType) -> bytes:
@@ -249,14 +249,14 @@
         """The call stands; now and then the client ends it at once."""
         self.unanswered.pop(message.call, None)
         if call is None:
-            self.record.strange.append(f"an answer to call {message.call:016x}, which nobody made")
+            self.record.unexpected_messages.append(f"an answer to call {message.call:016x}, which nobody made")
             return
         call.final_answers.append((now_us(), "answered"))
         call.answered_us = call.answered_us or now_us()
         call.description = message.description
         if self.random.random() < self.profile.end_share:
             call.ended_by_client_us = now_us()
-            self.send(p.encode(p.Release(call.ident, p.ReleaseCause.NORMAL)))
+            self.send(p.encode(p.Release(call.call_id, p.ReleaseCause.NORMAL)))
 
     def handle_release(self, call: Call | None, message: p.Release) -> None:
         """A refusal or failure, or the end of a call that stood."""
--- a/rig/discovery.py
+++ b/rig/discovery.py
@@ -15,16 +15,16 @@
 from .sockets import SuspendableListener, close_with_reset, loopback_address, send_all
 
 HEARTBEAT_S = 1.0
-EMPTY_FRAME = bytes(4)
-STATES = {"ready": 0, "draining": 1, "gone": 2}
+HEARTBEAT_FRAME = bytes(4)
+STATE_CODES = {"ready": 0, "draining": 1, "gone": 2}
 
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
     """One exchange as discovery has it."""
 
-    ident: int
-    number: int  # cell
+    exchange_id: int
+    exchange_number: int  # cell
     host: str
     port: int
     state: str = "ready"
@@ -32,11 +32,11 @@
 
 
 @dataclass(slots=True)
-class Published:
+class PublishedEvent:
     """One event of the command channel."""
 
     endpoint: Endpoint
-    at_us: int
+    published_us: int
     delivered_us: int = 0
 
 
@@ -47,7 +47,7 @@
         self.port = port
         self.record = record
         self.endpoints: dict[int, Endpoint] = {}
-        self.events: list[Published] = []
+        self.events: list[PublishedEvent] = []
         self.host = loopback_address(record.seed)
         self.listener = SuspendableListener(self.host, port)
         self.reachable_us = 0  # since when it can be reached, 0 while it cannot
@@ -69,35 +69,37 @@
 
     def publish(self, endpoint: Endpoint) -> None:
         """Discovery has a change from now on."""
-        self.endpoints[endpoint.ident] = endpoint
+        self.endpoints[endpoint.exchange_id] = endpoint
         if endpoint.state == "gone":
-            del self.endpoints[endpoint.ident]
-        self.events.append(Published(endpoint, now_us()))
+            del self.endpoints[endpoint.exchange_id]
+        self.events.append(PublishedEvent(endpoint, now_us()))
         self._changed.set()
         self._changed = trio.Event()
 
-    def set_state(self, ident: int, state: str) -> None:
+    def set_state(self, exchange_id: int, state: str) -> None:
         """An exchange drains, or is gone."""
-        if ident in self.endpoints:
-            self.publish(replace(self.endpoints[ident], state=state))
+        if exchange_id in self.endpoints:
+            self.publish(replace(self.endpoints[exchange_id], state=state))
 
-    def start_anew(self) -> None:
+    def begin_process(self) -> None:
         """A process of the program is about to start: events are counted anew for it."""
-        self.settle()
-        self.first = list(self.endpoints.values())
+        self.record_events()
+        self.snapshot = list(self.endpoints.values())
 
-    def known(self) -> dict[str, object]:
+    def known_events(self) -> dict[str, object]:
         """The events so far, as the configuration holds them."""
-        commands = [_command(1, True, self.first)]
-        commands += [_command(k, False, [event.endpoint]) for k, event in enumerate(self.events, 2)]
+        commands = [channel_command(1, True, self.snapshot)]
+        commands += [channel_command(k, False, [event.endpoint]) for k, event in enumerate(self.events, 2)]
         return {"cursor": len(commands), "cmds": commands}
 
-    def settle(self) -> None:
+    def record_events(self) -> None:
         """Enter the events so far in the record, and begin anew."""
         for event in self.events:
-            reachable = max(event.at_us, self.reachable_us) if self.reachable_us else 0
+            reachable = max(event.published_us, self.reachable_us) if self.reachable_us else 0
             self.record.list_events.append(
-                ListEvent(event.endpoint.ident, event.endpoint.state, event.at_us, reachable, event.delivered_us)
+                ListEvent(
+                    event.endpoint.exchange_id, event.endpoint.state, event.published_us, reachable, event.delivered_us
+                )
             )
         self.events = []
 
@@ -108,22 +110,22 @@
             close_with_reset(sock)
         self._connections.clear()
 
-    def go_down(self, deaf: bool) -> None:
+    def start_outage(self, unresponsive: bool) -> None:
         """Refuse connects, or answer none at all; open connections are reset or stay silent."""
         self.reachable_us = 0
-        if deaf:
+        if unresponsive:
             self._silent = True
             self.listener.suspend()
         else:
             self._drop_connections()
             self.listener.close()
 
-    def fall_silent(self) -> None:
+    def stop_responding(self) -> None:
         """Accept, and tell nothing."""
         self.reachable_us = 0
         self._silent = True
 
-    async def come_back(self) -> None:
+    async def end_outage(self) -> None:
         """Serve again; connections from before stay as they are, silent ones stay silent."""
         if self.reachable_us:
             return
@@ -135,7 +137,7 @@
         self.reachable_us = now_us()
         self._connections.clear()
 
-    def slow_down(self, delay_s: float) -> None:
+    def delay_first_frame(self, delay_s: float) -> None:
         """Take some time before the first frame of a connection."""
         self._delay_s = delay_s
 
@@ -150,7 +152,7 @@
             if self._silent:
                 await trio.sleep_forever()
             while sock in self._connections:
-                cursor = await self.tell(sock, cursor)
+                cursor = await self.send_events(sock, cursor)
                 with trio.move_on_after(HEARTBEAT_S):
                     await self._changed.wait()
                 if self._silent:
@@ -169,34 +171,34 @@
             data += more
         return int(p.CURSOR.unpack(data)[0])
 
-    async def tell(self, sock: trio.socket.SocketType, cursor: int) -> int:
+    async def send_events(self, sock: trio.socket.SocketType, cursor: int) -> int:
         """Write the events after a number, or an empty frame; the number of the last one written."""
         waiting = list(enumerate(self.events, 2))[max(0, cursor - 1) :]
         for number, event in waiting:
-            await send_all(sock, encode(number, event.endpoint))
+            await send_all(sock, encode_frame(number, event.endpoint))
             event.delivered_us = event.delivered_us or now_us()
             cursor = number
         if not waiting:
-            await send_all(sock, EMPTY_FRAME)
+            await send_all(sock, HEARTBEAT_FRAME)
         return cursor
 
 
-def _command(number: int, whole: bool, endpoints: list[Endpoint]) -> dict[str, object]:
+def channel_command(number: int, snapshot: bool, endpoints: list[Endpoint]) -> dict[str, object]:
     """One event as the configuration holds it."""
     listed = [
         {
-            "name": f"s-{e.ident:08x}", "address": f"{e.host}:{e.port}", "zone": "z", "type": "std",
-            "group": e.number, "status": e.state, "weight": 1, "since_ms": e.started_ms,
+            "name": f"s-{e.exchange_id:08x}", "address": f"{e.host}:{e.port}", "zone": "z", "type": "std",
+            "group": e.exchange_number, "status": e.state, "weight": 1, "since_ms": e.started_ms,
         }
         for e in endpoints
     ]  # fmt: skip
-    return {"cursor": number, "nodes": {"index": number, "snapshot": whole, "endpoints": listed}}
+    return {"cursor": number, "nodes": {"index": number, "snapshot": snapshot, "endpoints": listed}}
 
 
-def encode(number: int, endpoint: Endpoint) -> bytes:
+def encode_frame(number: int, endpoint: Endpoint) -> bytes:
     """One change as a frame."""
     record = p.RECORD.pack(
-        endpoint.ident, socket.inet_aton(endpoint.host), endpoint.port, STATES[endpoint.state], 0, 0, endpoint.number,
-        1000, endpoint.started_ms,
+        endpoint.exchange_id, socket.inet_aton(endpoint.host), endpoint.port, STATE_CODES[endpoint.state], 0, 0,
+        endpoint.exchange_number, 1000, endpoint.started_ms,
     )  # fmt: skip
     return p.FRAME_HEADER.pack(p.FRAME_HEADER.size - 4 + len(record), number, 2) + record
--- a/rig/exchange.py
+++ b/rig/exchange.py
@@ -23,13 +23,13 @@
 from .clock import now_us
 from .sockets import close_with_reset, send_all
 
-GROUP_STATES_MOST = 4  # open connections that are told group states
+MAX_GROUP_STATE_RECIPIENTS = 4  # open connections that are told group states
 RECEIVE_BYTES = 64 * 1024
 PIECE_PAUSE_S = (0.001, 0.008)  # between two pieces of a message: a connection still carries a hundred a second
 
 
 @dataclass(slots=True)
-class Options:
+class ExchangeOptions:
     """What the exchange does wrong, and its pace. Shares are between 0 and 1."""
 
     size: int = 40  # circuits
@@ -51,7 +51,7 @@
     sock: trio.socket.SocketType
     number: int
     peer_port: int
-    waiting: deque[bytes]
+    outbox: deque[bytes]
     writer_wakeup: trio.Event
     closed: bool = False
 
@@ -60,23 +60,23 @@
 class Call:
     """A set-up, and the call that it may become."""
 
-    ident: int
+    call_id: int
     connection: Connection
     scope: trio.CancelScope
-    stands: bool = False
+    answered: bool = False
 
 
 class Exchange:
     """The state of one exchange."""
 
-    def __init__(self, host: str, port: int, options: Options, seed: int) -> None:
+    def __init__(self, host: str, port: int, options: ExchangeOptions, seed: int) -> None:
         self.host = host
         self.port = port
         self.options = options
         self.random = random.Random(seed)
         self.connections: list[Connection] = []
         self.calls: dict[int, Call] = {}
-        self.untold: dict[int, bytes] = {}  # releases that are to be sent on the next connection too
+        self.pending_releases: dict[int, bytes] = {}  # releases that are to be sent on the next connection too
         self.accepted = 0
         self.nursery: trio.Nursery
 
@@ -103,9 +103,9 @@
         """Take new options as they come."""
         stream = trio.wrap_file(sys.stdin)
         async for line in stream:
-            known = {field.name for field in fields(Options)}
-            changes = {name: value for name, value in json.loads(line).items() if name in known}
-            self.options = Options(**{**asdict(self.options), **changes})
+            option_names = {field.name for field in fields(ExchangeOptions)}
+            changes = {name: value for name, value in json.loads(line).items() if name in option_names}
+            self.options = ExchangeOptions(**{**asdict(self.options), **changes})
 
     def happens(self, share: float) -> bool:
         """Draw whether something of a given share happens now."""
@@ -119,28 +119,28 @@
 
     async def serve(self, sock: trio.socket.SocketType) -> None:
         """One connection, from its group state to its end; one that has ended in the queue was never open."""
-        if self.has_ended(sock):
+        if self.peer_has_closed(sock):
             sock.close()
             return
         self.accepted += 1
         connection = Connection(sock, self.accepted, peer_port(sock), deque(), trio.Event())
         self.connections.append(connection)
         self.send(connection, p.encode(self.group_state()))
-        for call, data in self.untold.items():
-            self.tell_end(connection, call, data)
-        self.untold.clear()
+        for call, data in self.pending_releases.items():
+            self.send_end(connection, call, data)
+        self.pending_releases.clear()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.write, connection)
             await self.read(connection)
             nursery.cancel_scope.cancel()
-        self.drop(connection)
+        self.close_connection(connection)
 
     @staticmethod
-    def has_ended(sock: trio.socket.SocketType) -> bool:
+    def peer_has_closed(sock: trio.socket.SocketType) -> bool:
         """Whether the peer has closed or reset a connection already."""
-        with socket.socket(fileno=os.dup(sock.fileno())) as look:
+        with socket.socket(fileno=os.dup(sock.fileno())) as duplicate:
             try:
-                return not look.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+                return not duplicate.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
             except BlockingIOError:
                 return False
             except OSError:
@@ -152,14 +152,14 @@
         with contextlib.suppress(OSError, trio.ClosedResourceError, p.ProtocolError):
             while data := await connection.sock.recv(RECEIVE_BYTES):
                 for message in decoder.feed(data):
-                    self.hear(connection, message)
+                    self.handle_message(connection, message)
 
     async def write(self, connection: Connection) -> None:
         """Write what waits, some of it in pieces."""
         with contextlib.suppress(OSError, trio.ClosedResourceError):
             while True:
-                while connection.waiting:
-                    data = connection.waiting.popleft()
+                while connection.outbox:
+                    data = connection.outbox.popleft()
                     if self.happens(self.options.pieces):
                         middle = self.random.randrange(1, len(data))
                         await send_all(connection.sock, data[:middle])
@@ -171,10 +171,10 @@
 
     def send(self, connection: Connection, data: bytes) -> None:
         """Put bytes in line for a connection."""
-        connection.waiting.append(data)
+        connection.outbox.append(data)
         connection.writer_wakeup.set()
 
-    def drop(self, connection: Connection, abort: bool = False) -> None:
+    def close_connection(self, connection: Connection, abort: bool = False) -> None:
         """A connection has ended: the set-ups open on it are given up."""
         if connection.closed:
             return
@@ -184,10 +184,10 @@
             close_with_reset(connection.sock)
         else:
             connection.sock.close()
-        for call in [c for c in self.calls.values() if c.connection is connection and not c.stands]:
+        for call in [c for c in self.calls.values() if c.connection is connection and not c.answered]:
             call.scope.cancel()
-            if self.calls.get(call.ident) is call:
-                del self.calls[call.ident]
+            if self.calls.get(call.call_id) is call:
+                del self.calls[call.call_id]
 
     # --- calls ---
 
@@ -196,22 +196,22 @@
         free = max(0, self.options.size - len(self.calls))
         return p.GroupState(0, {"spare": free, "total": self.options.size, "allowed": 200})
 
-    def tell_group(self) -> None:
+    def send_group_state(self) -> None:
         """Tell the open connections that the free circuits have changed."""
         data = p.encode(self.group_state())
-        for connection in self.connections[:GROUP_STATES_MOST]:
+        for connection in self.connections[:MAX_GROUP_STATE_RECIPIENTS]:
             self.send(connection, data)
 
-    def hear(self, connection: Connection, message: p.Message) -> None:
+    def handle_message(self, connection: Connection, message: p.Message) -> None:
         """One message of a session controller."""
         if isinstance(message, p.SetUp):
-            self.hear_set_up(connection, message)
+            self.handle_set_up(connection, message)
         elif isinstance(message, p.Release):
-            self.hear_release(connection, message)
+            self.handle_release(connection, message)
         elif isinstance(message, p.HealthCheck):
             self.send(connection, p.encode(p.HealthCheckResult(message.call, True)))
 
-    def hear_set_up(self, connection: Connection, message: p.SetUp) -> None:
+    def handle_set_up(self, connection: Connection, message: p.SetUp) -> None:
         """A set-up is refused, fails, is passed over or becomes a call."""
         refusal = None
         if len(self.calls) >= self.options.size or self.happens(self.options.refuse):
@@ -219,25 +219,25 @@
         elif self.happens(self.options.fail):
             refusal = p.Release(message.call, p.ReleaseCause.RESOURCE_UNAVAILABLE)
         elif self.happens(self.options.reset):
-            self.drop(connection, abort=True)
+            self.close_connection(connection, abort=True)
             return
         if refusal is not None:
             self.send(connection, p.encode(refusal))
             return
-        if (before := self.calls.pop(message.call, None)) is not None:
-            before.scope.cancel()  # an attempt whose answer was lost: the new one takes its place
-            self.report("released", before.ident)
+        if (previous := self.calls.pop(message.call, None)) is not None:
+            previous.scope.cancel()  # an attempt whose answer was lost: the new one takes its place
+            self.report("released", previous.call_id)
         call = self.calls[message.call] = Call(message.call, connection, trio.CancelScope())
         self.nursery.start_soon(partial(self.run_call, call))
 
-    def hear_release(self, connection: Connection, message: p.Release) -> None:
+    def handle_release(self, connection: Connection, message: p.Release) -> None:
         """A set-up is given up, or a call that stands is ended."""
         call = self.calls.pop(message.call, None)
         self.send(connection, p.encode(p.ReleaseConfirmed(message.call)))
         if call is not None:
             call.scope.cancel()
-            self.report("released", call.ident)
-            self.tell_group()
+            self.report("released", call.call_id)
+            self.send_group_state()
 
     async def run_call(self, call: Call) -> None:
         """A call from its set-up to its own end."""
@@ -245,38 +245,38 @@
             await trio.sleep(self.draw_seconds(self.options.answer_ms))
             self.answer(call)
             await trio.sleep(self.draw_seconds(self.options.hold_ms))
-            self.end(call)
+            self.end_call(call)
 
     def answer(self, call: Call) -> None:
         """The call stands from now on, whether its answer arrives or not."""
-        call.stands = True
-        self.report("answered", call.ident, self.port)
-        self.tell_group()
+        call.answered = True
+        self.report("answered", call.call_id, self.port)
+        self.send_group_state()
         if self.happens(self.options.lose_answer):
             return
-        data = p.encode(p.Answer(call.ident, description(self.port, call.ident)))
+        data = p.encode(p.Answer(call.call_id, answer_description(self.port, call.call_id)))
         if self.happens(self.options.spoil_answer):
             data = data[:2] + bytes(byte ^ 0x5A for byte in data[2:])
         self.send(call.connection, data)
         if self.happens(self.options.second_answer):
             self.send(call.connection, data)
 
-    def end(self, call: Call) -> None:
+    def end_call(self, call: Call) -> None:
         """The call has come to its end: tell on its connection or any other, and on the next one opened."""
-        if self.calls.get(call.ident) is not call:
+        if self.calls.get(call.call_id) is not call:
             return
-        del self.calls[call.ident]
-        self.report("ended", call.ident)
-        self.tell_group()
-        data = p.encode(p.Release(call.ident, p.ReleaseCause.NORMAL))
+        del self.calls[call.call_id]
+        self.report("ended", call.call_id)
+        self.send_group_state()
+        data = p.encode(p.Release(call.call_id, p.ReleaseCause.NORMAL))
         connection = call.connection
         if connection.closed and self.connections:
             connection = self.connections[0]
         if not connection.closed:
-            self.tell_end(connection, call.ident, data)
-        self.untold[call.ident] = data
+            self.send_end(connection, call.call_id, data)
+        self.pending_releases[call.call_id] = data
 
-    def tell_end(self, connection: Connection, call: int, data: bytes) -> None:
+    def send_end(self, connection: Connection, call: int, data: bytes) -> None:
         """Release a call that is over on a connection, whether anybody listens there or not."""
         self.report("told", call, connection.peer_port)
         self.send(connection, data)
@@ -290,7 +290,7 @@
         return 0
 
 
-def description(port: int, call: int) -> bytes:
+def answer_description(port: int, call: int) -> bytes:
     """What an exchange answers a call with; no other exchange and no other call has the same."""
     return b"v=0 %d %016x\xff" % (port, call)
 
@@ -298,7 +298,7 @@
 def main() -> None:
     """Serve at the address given, with options as JSON and a seed."""
     host, port, options, seed = sys.argv[1], int(sys.argv[2]), json.loads(sys.argv[3]), int(sys.argv[4])
-    trio.run(Exchange(host, port, Options(**options), seed).run)
+    trio.run(Exchange(host, port, ExchangeOptions(**options), seed).run)
 
 
 if __name__ == "__main__":
--- a/rig/known_red.py
+++ b/rig/known_red.py
@@ -14,12 +14,12 @@
 from .rules import Violation
 
 PATH = Path(__file__).parent.parent / "KNOWN-RED.txt"
-ENTRIES_MOST = 3
-FIELDS = 4
-TRIAL = "rig.soak "
+MAX_ENTRIES = 3
+FIELD_COUNT = 4
+TRIAL_PREFIX = "rig.soak "
 
 
-class ListError(ValueError):
+class InvalidListError(ValueError):
     """The list is not as it should be."""
 
 
@@ -32,7 +32,7 @@
     seen: str
     issue: str
 
-    def names(self, violation: Violation) -> bool:
+    def matches(self, violation: Violation) -> bool:
         """Whether a broken rule of the trial is the one of this entry."""
         rule, _, text = self.failure.partition(": ")
         return violation.rule == rule and text in violation.text
@@ -43,15 +43,17 @@
     path = path or PATH
     lines = [line for line in path.read_text().splitlines() if line.strip()] if path.exists() else []
     entries = [[field.strip() for field in line.split(" | ")] for line in lines]
-    if len(entries) > ENTRIES_MOST or any(len(entry) != FIELDS or not all(entry) for entry in entries):
-        raise ListError(f"{path.name}: {ENTRIES_MOST} lines at most, each 'test | failure | what was seen | issue'")
+    if len(entries) > MAX_ENTRIES or any(len(entry) != FIELD_COUNT or not all(entry) for entry in entries):
+        raise InvalidListError(
+            f"{path.name}: {MAX_ENTRIES} lines at most, each 'test | failure | what was seen | issue'"
+        )
     return [KnownFailure(*entry) for entry in entries]
 
 
-def counted(
+def split_known(
     name: str, violations: Sequence[Violation], known: Sequence[KnownFailure]
 ) -> tuple[list[Violation], list[Violation]]:
     """The broken rules of a trial that count, and those that are passed over."""
-    entries = [entry for entry in known if entry.test == TRIAL + name]
-    passed_over = [v for v in violations if any(entry.names(v) for entry in entries)]
+    entries = [entry for entry in known if entry.test == TRIAL_PREFIX + name]
+    passed_over = [v for v in violations if any(entry.matches(v) for entry in entries)]
     return [v for v in violations if v not in passed_over], passed_over
--- a/rig/program.py
+++ b/rig/program.py
@@ -21,9 +21,9 @@
 ROOT = Path(__file__).parent.parent
 CLASS_NAMES = ("premium quote", "renewal quote")
 TENANT = "acme"
-KILL_AFTER_MOST_US = 3 * SECOND  # of the longest wait
-KILL_AFTER_US = 700 * MILLISECOND
-READY_S = 10.0
+MAX_WAIT_BEFORE_KILL_US = 3 * SECOND  # of the longest wait
+KILL_MARGIN_US = 700 * MILLISECOND
+READY_TIMEOUT_S = 10.0
 
 
 def settings(longest_wait_us: int, max_attempts: int) -> dict[str, object]:
@@ -65,8 +65,8 @@
         self.command = deploy["run"]
         self.record = record
         self.address = (loopback_address(record.seed), port)
-        self.folder = tempfile.TemporaryDirectory()
-        self.path = Path(self.folder.name) / "config.json"
+        self.directory = tempfile.TemporaryDirectory()
+        self.config_path = Path(self.directory.name) / "config.json"
         self.config: dict[str, object] = {
             "name": "n0", "listen": f"{self.address[0]}:{port}", "seed": f"{record.seed:016x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
@@ -74,24 +74,24 @@
             "settings": settings(record.longest_wait_us, record.max_attempts),
         }  # fmt: skip
         self.process: subprocess.Popen[bytes] | None = None
-        self.log = Path(self.folder.name) / "log"
+        self.log_path = Path(self.directory.name) / "log"
 
     @property
-    def current(self) -> Process:
+    def current_process(self) -> Process:
         """The record of the process started last."""
         return self.record.processes[-1]
 
     @property
     def kill_after_us(self) -> int:
         """How long after SIGTERM SIGKILL may come at the earliest."""
-        return min(self.record.longest_wait_us, KILL_AFTER_MOST_US) + KILL_AFTER_US
+        return min(self.record.longest_wait_us, MAX_WAIT_BEFORE_KILL_US) + KILL_MARGIN_US
 
     def write_config(self, known: Mapping[str, object]) -> None:
         """Put the configuration in place, whole."""
         self.config["known"] = known
-        temporary = self.path.with_suffix(".new")
+        temporary = self.config_path.with_suffix(".new")
         temporary.write_text(json.dumps(self.config))
-        temporary.replace(self.path)
+        temporary.replace(self.config_path)
 
     def change_settings(self, longest_wait_us: int) -> None:
         """Other waits count from the next SIGHUP on; never longer ones than the trial's."""
@@ -101,20 +101,20 @@
     def start(self) -> None:
         """Start a process with the configuration in place."""
         self.record.processes.append(Process(len(self.record.processes) + 1, now_us()))
-        environment = {**os.environ, "GW_CONFIG": str(self.path), "TMPDIR": self.folder.name}
-        with self.log.open("ab") as log:
+        environment = {**os.environ, "GW_CONFIG": str(self.config_path), "TMPDIR": self.directory.name}
+        with self.log_path.open("ab") as log:
             self.process = subprocess.Popen(
                 ["/bin/sh", "-c", self.command], env=environment, cwd=ROOT, stdout=log, stderr=log
             )
 
-    def send(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Send a signal to the process, if it still runs."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
-    async def watch_exit(self) -> None:
+    async def wait_for_exit(self) -> None:
         """Wait until the process has ended; its end is recorded with its log."""
-        process, entry = self.process, self.current
+        process, entry = self.process, self.current_process
         assert process is not None
         while process.poll() is None:
             await trio.sleep(0.002)
@@ -124,19 +124,19 @@
 
     async def terminate(self) -> None:
         """SIGTERM, then SIGKILL as early as it may come, unless the process has ended before."""
-        entry = self.current
+        entry = self.current_process
         entry.terminated_us = now_us()
-        self.send(signal.SIGTERM)
+        self.send_signal(signal.SIGTERM)
         with trio.move_on_after(self.kill_after_us / SECOND):
-            await self.watch_exit()
+            await self.wait_for_exit()
         if not entry.exited_us:
             await self.kill()
 
     async def kill(self) -> None:
         """SIGKILL."""
-        self.current.killed_us = now_us()
-        self.send(signal.SIGKILL)
-        await self.watch_exit()
+        self.current_process.killed_us = now_us()
+        self.send_signal(signal.SIGKILL)
+        await self.wait_for_exit()
 
     def close(self) -> None:
         """End what runs, keep the log, remove the files."""
@@ -144,5 +144,5 @@
             self.process.kill()
             self.process.wait()
         if self.record.processes:
-            self.current.log = self.log.read_text(errors="replace")
-        self.folder.cleanup()
+            self.current_process.log = self.log_path.read_text(errors="replace")
+        self.directory.cleanup()
--- a/rig/record.py
+++ b/rig/record.py
@@ -11,7 +11,7 @@
 
     ANSWERED = "answered"
     REFUSED = "refused"
-    RESET_TOLD = "release with cause 41"
+    RESET_REPORTED = "release with cause 41"
     GIVEN_UP = "given up"
     CLOSED = "connection closed by the program"
     BROKEN = "connection broken by the exchange"
@@ -21,9 +21,9 @@
 class Attempt:
     """A set-up that the program has written to an exchange."""
 
-    call: int
-    exchange: int
-    connection: int
+    call_id: int
+    exchange_id: int
+    link_number: int
     sent_us: int
     end_us: int = 0
     end: AttemptEnd | None = None
@@ -33,7 +33,7 @@
 class Call:
     """A set-up of a client, from its last byte on."""
 
-    ident: int
+    call_id: int
     client: str
     process_number: int  # number of the program's process that accepted its connection
     sent_us: int
@@ -49,25 +49,25 @@
 
 
 @dataclass(slots=True, eq=False)
-class Standing:
+class StandingCall:
     """A call that stood at an exchange, as that exchange or its death has it."""
 
-    call: int
-    exchange: int
+    call_id: int
+    exchange_id: int
     answered_us: int
     description: bytes = b""  # what its exchange answered it with
     ended_us: int = 0
     delivered_us: int = 0  # when its release was passed to the program
-    delivered_on: int = 0  # the connection on which that was
-    by_program: bool = False  # the program released it
-    told_on: list[str] = field(default_factory=list)  # the connections on which its exchange told its end
+    delivered_on_link: int = 0  # the connection on which that was
+    released_by_program: bool = False  # the program released it
+    end_sent_on: list[str] = field(default_factory=list)  # the connections on which its exchange told its end
 
 
 @dataclass(slots=True, frozen=True)
 class ListEvent:
     """A change of the list: when discovery had it and could be reached, and when it was passed to the program."""
 
-    exchange: int
+    exchange_id: int
     state: str
     published_us: int
     reachable_us: int
@@ -99,10 +99,10 @@
     drain_grace_us: int
     calls: dict[int, Call] = field(default_factory=dict)
     attempts: list[Attempt] = field(default_factory=list)
-    standing: dict[tuple[int, int], Standing] = field(default_factory=dict)
+    standing: dict[tuple[int, int], StandingCall] = field(default_factory=dict)
     list_events: list[ListEvent] = field(default_factory=list)
     processes: list[Process] = field(default_factory=list)
     faults: list[tuple[int, str]] = field(default_factory=list)
-    strange: list[str] = field(default_factory=list)  # messages to clients that nobody can explain
+    unexpected_messages: list[str] = field(default_factory=list)  # messages to clients that nobody can explain
     stall_us: int = 0  # by how much the trial itself was late at the most: the error of its times
     ended_us: int = 0
--- a/rig/site.py
+++ b/rig/site.py
@@ -13,29 +13,31 @@
 
 from .clock import now_us
 from .discovery import Endpoint
-from .exchange import Options, description
+from .exchange import ExchangeOptions, answer_description
 from .program import ROOT
 from .proxy import Proxy
-from .record import Record, Standing
+from .record import Record, StandingCall
 from .sockets import free_port, loopback_address
 
 
 class Site:
     """One exchange, under the id and at the address that discovery has."""
 
-    def __init__(self, ident: int, number: int, port: int, options: Options, record: Record) -> None:
-        self.ident = ident
-        self.number = number
+    def __init__(self, exchange_id: int, number: int, port: int, options: ExchangeOptions, record: Record) -> None:
+        self.exchange_id = exchange_id
+        self.exchange_number = number
         self.options = options
         self.record = record
-        self.proxy = Proxy(ident, port, free_port(loopback_address(record.seed)), record, record.seed + ident)
+        self.proxy = Proxy(
+            exchange_id, port, free_port(loopback_address(record.seed)), record, record.seed + exchange_id
+        )
         self.process: subprocess.Popen[str] | None = None
-        self.ended = False
+        self.killed = False
 
     @property
     def endpoint(self) -> Endpoint:
         """The exchange as discovery has it while it is ready."""
-        return Endpoint(self.ident, self.number, self.proxy.host, self.proxy.port)
+        return Endpoint(self.exchange_id, self.exchange_number, self.proxy.host, self.proxy.port)
 
     def start(self) -> None:
         """Start the process of the exchange."""
@@ -43,19 +45,19 @@
             self.proxy.host,
             str(self.proxy.target),
             json.dumps(asdict(self.options)),
-            str(self.record.seed + self.ident),
+            str(self.record.seed + self.exchange_id),
         ]
         self.process = subprocess.Popen(
             [sys.executable, "-m", "rig.exchange", *arguments],
             stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True, cwd=ROOT,
         )  # fmt: skip
 
-    async def run(self) -> None:
+    async def read_reports(self) -> None:
         """Read what the exchange reports until its process ends."""
         assert self.process is not None and self.process.stdout is not None
         output: IO[str] = self.process.stdout
         while line := await trio.to_thread.run_sync(output.readline, abandon_on_cancel=True):
-            self.hear(json.loads(line))
+            self.handle_report(json.loads(line))
 
     async def wait_listening(self) -> None:
         """Wait until the exchange accepts connections."""
@@ -67,45 +69,45 @@
                 except OSError:
                     await trio.sleep(0.02)
 
-    def hear(self, report: dict[str, object]) -> None:
+    def handle_report(self, report: dict[str, object]) -> None:
         """One event of the exchange."""
         at, event, call = int(str(report["at"])), report["event"], int(str(report["call"]))
-        key = (self.ident, call)
+        key = (self.exchange_id, call)
         if event == "told" and key in self.record.standing:
-            self.record.standing[key].told_on.append(self.proxy.describe(int(str(report["port"]))))
+            self.record.standing[key].end_sent_on.append(self.proxy.describe(int(str(report["port"]))))
         elif event == "answered":
-            answer = description(int(str(report["port"])), call)
-            self.record.standing[key] = Standing(call, self.ident, at, answer)
+            answer = answer_description(int(str(report["port"])), call)
+            self.record.standing[key] = StandingCall(call, self.exchange_id, at, answer)
         elif event in ("ended", "released") and key in self.record.standing:
             standing = self.record.standing[key]
             standing.ended_us = standing.ended_us or at
-            standing.by_program = event == "released"
+            standing.released_by_program = event == "released"
 
-    def change(self, options: Options) -> None:
+    def change_options(self, options: ExchangeOptions) -> None:
         """Have the exchange act otherwise from now on."""
         self.options = options
         if self.process is not None and self.process.stdin is not None and self.process.poll() is None:
             self.process.stdin.write(json.dumps(asdict(options)) + "\n")
             self.process.stdin.flush()
 
-    def stop(self) -> None:
+    def pause(self) -> None:
         """SIGSTOP: the process hangs, and its connections stay open."""
-        self._send(signal.SIGSTOP)
+        self._send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
         """SIGCONT."""
-        self._send(signal.SIGCONT)
+        self._send_signal(signal.SIGCONT)
 
     def kill(self) -> None:
         """SIGKILL: all that stands is over."""
-        self.ended = True
-        self._send(signal.SIGKILL)
+        self.killed = True
+        self._send_signal(signal.SIGKILL)
         now = now_us()
         for (exchange, _), standing in self.record.standing.items():
-            if exchange == self.ident and not standing.ended_us:
+            if exchange == self.exchange_id and not standing.ended_us:
                 standing.ended_us = now
 
-    def _send(self, number: signal.Signals) -> None:
+    def _send_signal(self, number: signal.Signals) -> None:
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
--- a/rig/soak.py
+++ b/rig/soak.py
@@ -20,14 +20,14 @@
 from .trial import Trial
 
 FOUND = ROOT / "found"
-TRIAL_MOST_S = 120
+TRIAL_TIMEOUT_S = 120
 
 
 def run_trial(plan: scenario.Plan) -> tuple[Record, list[rules.Violation]]:
     """Play one plan in this process."""
     record = plan.record()
     trial = Trial(record, plan.exchanges, plan.clients, plan.crowd, plan.absent)
-    trio.run(trial.run, plan.play, scenario.TAIL_S)
+    trio.run(trial.run, plan.play, scenario.QUIET_PERIOD_S)
     return record, rules.check(record)
 
 
@@ -60,9 +60,9 @@
 
 def play_one(name: str) -> int:
     """Play the trial of a seed, or a named one; one line of JSON tells what came of it."""
-    plan = scenario.NAMED[name]() if name in scenario.NAMED else scenario.plan(int(name))
+    plan = scenario.NAMED_PLANS[name]() if name in scenario.NAMED_PLANS else scenario.plan(int(name))
     record, broken = run_trial(plan)
-    violations, passed_over = known_red.counted(name, broken, known_red.read())
+    violations, passed_over = known_red.split_known(name, broken, known_red.read())
     report = summary(plan, record, violations, passed_over)
     if broken:
         FOUND.mkdir(exist_ok=True)
@@ -76,31 +76,31 @@
     """Play a trial in a process of its own; one that fails to report is a violation."""
     command = [sys.executable, "-m", "rig.soak", "--one", name]
     try:
-        done = subprocess.run(command, capture_output=True, text=True, timeout=TRIAL_MOST_S, cwd=ROOT)
-        lines = done.stdout.splitlines()
-        failed = [] if lines else [f"the trial itself failed: {done.stderr[-1500:]}"]
+        result = subprocess.run(command, capture_output=True, text=True, timeout=TRIAL_TIMEOUT_S, cwd=ROOT)
+        lines = result.stdout.splitlines()
+        failed = [] if lines else [f"the trial itself failed: {result.stderr[-1500:]}"]
     except subprocess.TimeoutExpired:
-        lines, failed = [], [f"the trial itself took over {TRIAL_MOST_S} s"]
+        lines, failed = [], [f"the trial itself took over {TRIAL_TIMEOUT_S} s"]
     return {"seed": name, "violations": failed, "faults": []} if failed else dict(json.loads(lines[-1]))
 
 
-def names_of(words: list[str]) -> list[str]:
+def expand_seeds(arguments: list[str]) -> list[str]:
     """Seeds as written on the command line: numbers, spans like 1-50, or the incident."""
     names: list[str] = []
-    for word in words:
-        first, dash, last = word.partition("-")
-        names += [str(k) for k in range(int(first), int(last) + 1)] if dash else [word]
+    for argument in arguments:
+        first, dash, last = argument.partition("-")
+        names += [str(k) for k in range(int(first), int(last) + 1)] if dash else [argument]
     return names
 
 
-def show(report: dict[str, object]) -> None:
+def print_report(report: dict[str, object]) -> None:
     """One trial on the screen."""
-    shown = (
+    keys = (
         "seed", "families", "wait_ms", "crowd", "calls", "answered", "ended", "processes", "early_cuts",
         "slowest_end_ms",
         "stall_ms",
     )  # fmt: skip
-    print(" ".join(f"{name}={report.get(name)}" for name in shown), flush=True)
+    print(" ".join(f"{name}={report.get(name)}" for name in keys), flush=True)
     for kind in ("faults", "violations", "passed_over"):
         lines = report.get(kind)
         if (report["violations"] or report.get("passed_over")) and isinstance(lines, list):
@@ -115,13 +115,13 @@
     parser.add_argument("--jobs", type=int, default=3, help="trials at a time, each with some eight processes")
     parser.add_argument("--one", action="store_true", help="play one trial in this process")
     options = parser.parse_args()
-    names = names_of(options.seeds)
+    names = expand_seeds(options.seeds)
     if options.one:
         return play_one(names[0])
     broken, passed_over = 0, 0
     with ThreadPoolExecutor(options.jobs) as pool:
         for report in pool.map(play_in_process, names):
-            show(report)
+            print_report(report)
             broken += bool(report["violations"])
             passed_over += bool(report.get("passed_over"))
     print(f"{len(names)} trials, {broken} with a broken rule; {passed_over} with a known failure that was passed over")
--- a/rig/trial.py
+++ b/rig/trial.py
@@ -14,16 +14,16 @@
 from .client import ABSENT_PROFILE, PROFILES, CallIds, Client
 from .clock import SECOND, now_us
 from .discovery import Discovery
-from .exchange import Options
+from .exchange import ExchangeOptions
 from .program import Program
 from .record import Record
 from .site import Site
 from .sockets import free_port, loopback_address
 
-FIRST_IDENT = 101
-NEW_CONNECTIONS_S = 0.3  # after SIGTERM
-TRACE_EVERY_S = 2.0
-WATCH_S = 0.01
+EXCHANGE_ID_BASE = 101
+CONNECTS_AFTER_SIGTERM_S = 0.3  # after SIGTERM
+TRACE_INTERVAL_S = 2.0
+STALL_PROBE_S = 0.01
 SETTLE_S = 1.0  # between readiness and the first fault
 
 
@@ -36,13 +36,13 @@
         self.host = loopback_address(record.seed)
         self.discovery = Discovery(free_port(self.host), record)
         self.program = Program(record, free_port(self.host), self.discovery.port)
-        self.options = Options()
+        self.options = ExchangeOptions()
         self.sites = {
-            number: Site(FIRST_IDENT + number, number, free_port(self.host), self.options, record)
+            number: Site(EXCHANGE_ID_BASE + number, number, free_port(self.host), self.options, record)
             for number in range(1, exchanges + 1)
         }
         self.retired: list[Site] = []
-        self.next_ident = FIRST_IDENT + 100
+        self.last_replacement_id = EXCHANGE_ID_BASE + 100
         call_ids = CallIds(record.seed)
         self.clients = [
             Client(profile, self.program.address, record, call_ids, list(self.sites), record.seed * 100 + k)
@@ -54,31 +54,31 @@
 
     # --- the course of a trial ---
 
-    async def run(self, scenario: Callable[[Trial], Awaitable[None]], tail_s: float) -> None:
+    async def run(self, scenario: Callable[[Trial], Awaitable[None]], quiet_s: float) -> None:
         """Start all, play the scenario, let some time pass, end all."""
         try:
             async with trio.open_nursery() as self.nursery:
                 self.nursery.start_soon(self.discovery.run)
                 for site in self.sites.values():
                     await self.start_site(site)
-                    self.discovery.endpoints[site.ident] = site.endpoint
+                    self.discovery.endpoints[site.exchange_id] = site.endpoint
                 await self.start_program()
                 for client in self.clients:
                     self.nursery.start_soon(client.run)
                 for _ in range(self.crowd):
-                    self.nursery.start_soon(self.loiter)
-                self.nursery.start_soon(self.keep_traces)
-                self.nursery.start_soon(self.watch_itself)
+                    self.nursery.start_soon(self.hold_idle_connection)
+                self.nursery.start_soon(self.request_traces)
+                self.nursery.start_soon(self.measure_stalls)
                 await trio.sleep(SETTLE_S)
                 await scenario(self)
-                await trio.sleep(tail_s)
+                await trio.sleep(quiet_s)
                 self.record.ended_us = now_us()
-                self.discovery.settle()
+                self.discovery.record_events()
                 self.nursery.cancel_scope.cancel()
         finally:
             for site in (*self.sites.values(), *self.retired):
                 site.close()
-            self.program.send(signal.SIGUSR1)
+            self.program.send_signal(signal.SIGUSR1)
             with trio.CancelScope(shield=True):
                 await trio.sleep(0.2)
             self.program.close()
@@ -86,24 +86,24 @@
     async def start_site(self, site: Site) -> None:
         """Start an exchange, and its proxy."""
         site.start()
-        self.nursery.start_soon(site.run)
+        self.nursery.start_soon(site.read_reports)
         await site.wait_listening()
         self.nursery.start_soon(site.proxy.run)
 
     async def start_program(self) -> None:
         """Start a process of the program and wait until it passes a test."""
-        self.discovery.start_anew()
-        self.program.write_config(self.discovery.known())
+        self.discovery.begin_process()
+        self.program.write_config(self.discovery.known_events())
         self.program.start()
         for site in (*self.sites.values(), *self.retired):
-            site.proxy.process_number = self.program.current.number
-        self.nursery.start_soon(self.program.watch_exit)
+            site.proxy.process_number = self.program.current_process.number
+        self.nursery.start_soon(self.program.wait_for_exit)
         with trio.move_on_after(10):
-            while not await self.passes_test():
+            while not await self.passes_health_check():
                 await trio.sleep(0.02)
-            self.program.current.ready_us = now_us()
+            self.program.current_process.ready_us = now_us()
 
-    async def passes_test(self) -> bool:
+    async def passes_health_check(self) -> bool:
         """Whether the program passes the front's test."""
         with contextlib.suppress(OSError), trio.socket.socket() as sock:
             await sock.connect(self.program.address)
@@ -113,22 +113,22 @@
                     return isinstance(message, p.HealthCheckResult) and message.passed
         return False
 
-    async def keep_traces(self) -> None:
+    async def request_traces(self) -> None:
         """Have the program print its trace so often that none of it is lost."""
         while True:
-            await trio.sleep(TRACE_EVERY_S)
-            if self.program.current.ready_us:
-                self.program.send(signal.SIGUSR1)
+            await trio.sleep(TRACE_INTERVAL_S)
+            if self.program.current_process.ready_us:
+                self.program.send_signal(signal.SIGUSR1)
 
-    async def watch_itself(self) -> None:
+    async def measure_stalls(self) -> None:
         """Measure by how much this process is late: on a busy machine its times are off by as much."""
         while True:
             before = now_us()
-            await trio.sleep(WATCH_S)
-            late = now_us() - before - int(WATCH_S * SECOND)
+            await trio.sleep(STALL_PROBE_S)
+            late = now_us() - before - int(STALL_PROBE_S * SECOND)
             self.record.stall_us = max(self.record.stall_us, late)
 
-    async def loiter(self) -> None:
+    async def hold_idle_connection(self) -> None:
         """One connection of a crowd: idle, or half written."""
         while True:
             await trio.sleep(0.2)
@@ -137,7 +137,7 @@
                 await sock.send(b"\x00")
                 await sock.recv(1)
 
-    def note(self, text: str) -> None:
+    def record_fault(self, text: str) -> None:
         """Enter a fault in the record."""
         self.record.faults.append((now_us(), text))
 
@@ -148,173 +148,175 @@
 
         Further signals follow, each some seconds after the one before.
         """
-        self.note(f"SIGTERM {' '.join(number.name for _, number in further)}".strip())
-        self.nursery.start_soon(self._no_new_connections)
-        self.nursery.start_soon(self._signals, further)
+        self.record_fault(f"SIGTERM {' '.join(number.name for _, number in further)}".strip())
+        self.nursery.start_soon(self._stop_new_connections)
+        self.nursery.start_soon(self._send_signals, further)
         await self.program.terminate()
         for client in self.clients:
             client.may_connect = True
-        self.note("start")
+        self.record_fault("start")
         await self.start_program()
 
-    async def _signals(self, series: Sequence[tuple[float, signal.Signals]]) -> None:
-        process = self.program.current
+    async def _send_signals(self, series: Sequence[tuple[float, signal.Signals]]) -> None:
+        process = self.program.current_process
         for pause_s, number in series:
             await trio.sleep(pause_s)
-            if process is self.program.current:
-                self.program.send(number)
+            if process is self.program.current_process:
+                self.program.send_signal(number)
 
-    async def _no_new_connections(self) -> None:
-        process = self.program.current
-        await trio.sleep(NEW_CONNECTIONS_S)
+    async def _stop_new_connections(self) -> None:
+        process = self.program.current_process
+        await trio.sleep(CONNECTS_AFTER_SIGTERM_S)
         for client in self.clients:
-            client.may_connect = process is not self.program.current or not process.terminated_us
+            client.may_connect = process is not self.program.current_process or not process.terminated_us
 
     async def crash(self) -> None:
         """SIGKILL without a word, and a new process at once."""
-        self.note("SIGKILL")
+        self.record_fault("SIGKILL")
         await self.program.kill()
-        self.note("start")
+        self.record_fault("start")
         await self.start_program()
 
     async def reconfigure(self, times: int, pause_s: float, shorter: bool) -> None:
         """New configurations in quick succession, one of them broken."""
         longest = self.record.longest_wait_us
         for k in range(times):
-            self.note("SIGHUP")
-            if k % 4 == 3 and self.program.current.ready_us:  # a process that starts is given a good one
-                self.program.path.write_text("{")
+            self.record_fault("SIGHUP")
+            if k % 4 == 3 and self.program.current_process.ready_us:  # a process that starts is given a good one
+                self.program.config_path.write_text("{")
             else:
                 if shorter:
                     self.program.change_settings(longest if k % 2 else longest * 9 // 10)
-                self.program.write_config(self.discovery.known())
-            self.program.send(signal.SIGHUP)
+                self.program.write_config(self.discovery.known_events())
+            self.program.send_signal(signal.SIGHUP)
             await trio.sleep(pause_s)
         self.program.change_settings(longest)
-        self.program.write_config(self.discovery.known())
-        self.program.send(signal.SIGHUP)
+        self.program.write_config(self.discovery.known_events())
+        self.program.send_signal(signal.SIGHUP)
 
     # --- faults: discovery ---
 
     async def discovery_outage(self, kind: str, seconds: float) -> None:
         """Discovery refuses, is deaf or silent for a time."""
-        self.note(f"discovery {kind} for {seconds:.1f} s")
+        self.record_fault(f"discovery {kind} for {seconds:.1f} s")
         if kind == "silent":
-            self.discovery.fall_silent()
+            self.discovery.stop_responding()
         else:
-            self.discovery.go_down(deaf=kind == "deaf")
+            self.discovery.start_outage(unresponsive=kind == "deaf")
         await trio.sleep(seconds)
-        await self.discovery.come_back()
-        self.note("discovery back")
+        await self.discovery.end_outage()
+        self.record_fault("discovery back")
 
     # --- faults: exchanges and the network to them ---
 
     async def partition(self, number: int, seconds: float) -> None:
         """The network to an exchange is cut for a time."""
         site = self.sites[number]
-        self.note(f"network to {site.ident} cut for {seconds:.1f} s")
-        site.proxy.cut()
+        self.record_fault(f"network to {site.exchange_id} cut for {seconds:.1f} s")
+        site.proxy.cut_network()
         await trio.sleep(seconds)
         if site is self.sites[number]:
-            site.proxy.heal()
-            self.note(f"network to {site.ident} back")
+            site.proxy.restore_network()
+            self.record_fault(f"network to {site.exchange_id} back")
 
     async def hang(self, number: int, seconds: float) -> None:
         """An exchange hangs for a time."""
         site = self.sites[number]
-        self.note(f"{site.ident} hangs for {seconds:.1f} s")
-        site.stop()
+        self.record_fault(f"{site.exchange_id} hangs for {seconds:.1f} s")
+        site.pause()
         await trio.sleep(seconds)
         site.resume()
-        self.note(f"{site.ident} goes on")
+        self.record_fault(f"{site.exchange_id} goes on")
 
-    async def vanish(self, number: int, told_after_s: float, back_after_s: float, same_address: bool) -> None:
+    async def vanish(self, number: int, gone_after_s: float, replaced_after_s: float, same_address: bool) -> None:
         """A machine vanishes; discovery hears of it later, and another takes its place."""
         site = self.sites[number]
-        if site.ended:
+        if site.killed:
             return
-        self.note(f"{site.ident} vanishes")
-        site.proxy.lose_machine()
+        self.record_fault(f"{site.exchange_id} vanishes")
+        site.proxy.lose_host()
         site.kill()
-        await self._replace(site, told_after_s, back_after_s, same_address)
+        await self._replace(site, gone_after_s, replaced_after_s, same_address)
 
-    async def die(self, number: int, told_after_s: float, back_after_s: float, same_address: bool) -> None:
+    async def die(self, number: int, gone_after_s: float, replaced_after_s: float, same_address: bool) -> None:
         """The process of an exchange dies: resets, refusals; another takes its place."""
         site = self.sites[number]
-        if site.ended:
+        if site.killed:
             return
-        self.note(f"{site.ident} dies")
+        self.record_fault(f"{site.exchange_id} dies")
         site.kill()
-        site.proxy.refuse()
-        site.proxy.break_some(1.0, abort=True)
-        await self._replace(site, told_after_s, back_after_s, same_address)
+        site.proxy.stop_listening()
+        site.proxy.close_some(1.0, abort=True)
+        await self._replace(site, gone_after_s, replaced_after_s, same_address)
 
-    async def _replace(self, old: Site, told_after_s: float, back_after_s: float, same_address: bool) -> None:
+    async def _replace(self, old: Site, gone_after_s: float, replaced_after_s: float, same_address: bool) -> None:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._tell_gone, old, told_after_s)
-            await trio.sleep(back_after_s)
-            await self._new_site(old, same_address)
+            nursery.start_soon(self._publish_gone, old, gone_after_s)
+            await trio.sleep(replaced_after_s)
+            await self._start_replacement(old, same_address)
 
-    async def _tell_gone(self, old: Site, after_s: float) -> None:
+    async def _publish_gone(self, old: Site, after_s: float) -> None:
         await trio.sleep(after_s)
-        self.discovery.set_state(old.ident, "gone")
-        self.note(f"discovery has {old.ident} gone")
+        self.discovery.set_state(old.exchange_id, "gone")
+        self.record_fault(f"discovery has {old.exchange_id} gone")
 
-    async def _new_site(self, old: Site, same_address: bool) -> None:
-        self.next_ident += 1
+    async def _start_replacement(self, old: Site, same_address: bool) -> None:
+        self.last_replacement_id += 1
         port = old.proxy.port if same_address else free_port(self.host)
-        new = Site(self.next_ident, old.number, port, self.options, self.record)
+        new = Site(self.last_replacement_id, old.exchange_number, port, self.options, self.record)
         self.retired.append(old)
         if same_address:
             new.start()
-            self.nursery.start_soon(new.run)
+            self.nursery.start_soon(new.read_reports)
             await new.wait_listening()
             target, new.proxy = new.proxy.target, old.proxy
-            new.proxy.exchange = new.ident
+            new.proxy.exchange_id = new.exchange_id
             if new.proxy.listener.is_closed:
-                await new.proxy.listen_again()
-            new.proxy.new_machine(target)
+                await new.proxy.start_listening()
+            new.proxy.replace_host(target)
         else:
             await self.start_site(new)
-            new.proxy.process_number = self.program.current.number
-        self.sites[old.number] = new
+            new.proxy.process_number = self.program.current_process.number
+        self.sites[old.exchange_number] = new
         self.discovery.publish(new.endpoint)
-        self.note(f"{new.ident} in place of {old.ident}, {'same' if same_address else 'another'} address")
+        self.record_fault(
+            f"{new.exchange_id} in place of {old.exchange_id}, {'same' if same_address else 'another'} address"
+        )
 
     async def drain(self, number: int, gone_after_s: float, same_address: bool) -> None:
         """An exchange drains, then is replaced."""
         site = self.sites[number]
-        self.note(f"{site.ident} drains")
-        self.discovery.set_state(site.ident, "draining")
+        self.record_fault(f"{site.exchange_id} drains")
+        self.discovery.set_state(site.exchange_id, "draining")
         await trio.sleep(gone_after_s)
         await self.die(number, 0.0, 0.3, same_address)
 
     async def delay_connects(self, number: int, seconds: float) -> None:
         """Connects to an exchange come up late, by the network's repeats."""
         site = self.sites[number]
-        self.note(f"connects to {site.ident} late for {seconds:.1f} s")
+        self.record_fault(f"connects to {site.exchange_id} late for {seconds:.1f} s")
         site.proxy.listener.suspend()
         await trio.sleep(seconds)
         if site is self.sites[number]:
             site.proxy.listener.resume()
 
-    def break_links(self, number: int, share: float, how: str) -> None:
+    def break_links(self, number: int, share: float, break_kind: str) -> None:
         """Some connections to an exchange are reset, closed or forgotten."""
-        self.note(f"{share:.0%} of the links to {self.sites[number].ident}: {how}")
+        self.record_fault(f"{share:.0%} of the links to {self.sites[number].exchange_id}: {break_kind}")
         proxy = self.sites[number].proxy
-        if how == "forget":
-            proxy.forget_some(share)
-        elif how == "halve":
-            proxy.halve_some(share)
+        if break_kind == "forget":
+            proxy.blackhole_some(share)
+        elif break_kind == "halve":
+            proxy.reset_program_side(share)
         else:
-            proxy.break_some(share, abort=how == "reset")
+            proxy.close_some(share, abort=break_kind == "reset")
 
-    def spoil(self, **changes: float) -> None:
+    def change_exchange_options(self, **changes: float) -> None:
         """Have the exchanges act otherwise from now on."""
-        self.note(f"exchanges: {changes}")
+        self.record_fault(f"exchanges: {changes}")
         self.options = replace(self.options, **changes)  # type: ignore[arg-type]
         for site in self.sites.values():
-            site.change(self.options)
+            site.change_options(self.options)
 
 
 def new_record(seed: int, longest_wait_us: int) -> Record:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,7 +13,7 @@
     """The entries by test; UsageError if the list is not as it should be."""
     try:
         return {entry.test: entry for entry in known_red.read()}
-    except known_red.ListError as error:
+    except known_red.InvalidListError as error:
         raise pytest.UsageError(str(error)) from None
 
 
@@ -44,7 +44,7 @@
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
     """Print the known failures of tests, what came of each, and how many were passed over."""
     reports = terminalreporter.stats
-    tests = {test: entry for test, entry in _entries().items() if not test.startswith(known_red.TRIAL)}
+    tests = {test: entry for test, entry in _entries().items() if not test.startswith(known_red.TRIAL_PREFIX)}
     outcomes = {test: "not run" for test in tests}
     for name in ("xfailed", "passed", "failed", "error"):
         outcomes.update({r.nodeid: name for r in reports.get(name, ()) if getattr(r, "nodeid", "") in tests})
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -33,8 +33,8 @@
     def test_another_rule_another_text_or_another_seed_counts(self) -> None:
         named = Violation("end not told", 1, "call 5 at 102: told -1 ms after its end")
         others = [Violation("drain", 1, "call 5 at 102"), Violation("end not told", 1, "call 6 at 103")]
-        self.assertEqual(known_red.counted("7", [named, *others], [ENTRY]), (others, [named]))
-        self.assertEqual(known_red.counted("8", [named], [ENTRY]), ([named], []))
+        self.assertEqual(known_red.split_known("7", [named, *others], [ENTRY]), (others, [named]))
+        self.assertEqual(known_red.split_known("8", [named], [ENTRY]), ([named], []))
 
 
 class Tests(unittest.TestCase):
@@ -65,9 +65,9 @@
     def test_lists_that_are_not_as_they_should_be(self) -> None:
         path = self.folder / "list"
         line = "a | b | c | d\n"
-        for text in ("a | b | c\n", "a | b | | d\n", line * (known_red.ENTRIES_MOST + 1)):
+        for text in ("a | b | c\n", "a | b | | d\n", line * (known_red.MAX_ENTRIES + 1)):
             path.write_text(text)
-            with self.assertRaises(known_red.ListError):
+            with self.assertRaises(known_red.InvalidListError):
                 known_red.read(path)
         path.write_text(line)
         self.assertEqual(known_red.read(path), [known_red.KnownFailure("a", "b", "c", "d")])
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -6,7 +6,7 @@
 
 from rig import rules, scenario
 from rig.clock import SECOND
-from rig.record import Attempt, AttemptEnd, Call, ListEvent, Process, Standing
+from rig.record import Attempt, AttemptEnd, Call, ListEvent, Process, StandingCall
 from rig.trial import new_record
 
 BEGAN = 1_800_000_000 * SECOND
@@ -22,7 +22,7 @@
         self.record = new_record(1, 3 * SECOND)
         self.record.processes = [Process(1, BEGAN, ready_us=at(0.3))]
         self.record.ended_us = at(30)
-        for k in range(100, 100 + rules.ANSWERED_LEAST):
+        for k in range(100, 100 + rules.MIN_ANSWERED):
             self.answered(k)
 
     def call(self, ident: int, sent_s: float = 1.0, **fields: int) -> Call:
@@ -38,7 +38,7 @@
         call.answered_us = call.sent_us + int(after_s * SECOND)
         call.final_answers = [(call.answered_us, "answered")]
         call.description = b"v=0 20000 %016x\xff" % ident
-        self.record.standing[7, ident] = Standing(ident, 7, call.answered_us, call.description)
+        self.record.standing[7, ident] = StandingCall(ident, 7, call.answered_us, call.description)
         return call
 
     def broken(self) -> list[str]:
@@ -123,7 +123,7 @@
         for description, rule in ((b"v=0 20001 %016x\xff" % 1, []), (b"v=0 20000 %016x\xff" % 1, ["end not told"])):
             self.setUp()
             call = self.answered(1)
-            self.record.standing[8, 1] = Standing(1, 8, call.answered_us - 1, description, ended_us=at(2))
+            self.record.standing[8, 1] = StandingCall(1, 8, call.answered_us - 1, description, ended_us=at(2))
             self.assertEqual(self.broken(), rule)
 
     def test_crashes_and_faults(self) -> None:
