--- a/rig/__init__.py
+++ b/rig/__init__.py
@@ -1,5 +1,6 @@
-"""Fault injection on real processes over loopback: stand-ins, proxies, clients, rules and seeded trials.
+"""Fault injection on real processes over loopback: simulated exchanges, proxies, clients, rules and seeded trials.
 
-The program under test is started by the deploy line; exchanges are processes of their own behind a proxy that can cut,
-hold and reset connections. `python -m rig.soak --help` runs trials; docs/soak.md says what they play and check.
+The program under test is started with the command in deploy/balancer.toml. Each exchange is a process of its own behind
+a proxy that can cut, delay and reset connections. `python -m rig.soak` runs trials (`--help` lists its arguments);
+docs/soak.md describes the faults that they inject and the rules that they check.
 """
--- a/rig/client.py
+++ b/rig/client.py
@@ -1,7 +1,7 @@
-"""Clients of the program: good ones, and those that give up early, repeat, dawdle or send nonsense.
+"""Clients of the program: correct ones, and ones that give up early, redial, write slowly or send invalid messages.
 
-Each owns one connection at a time. What the program says to any of them is entered in the record; nothing is judged
-here.
+Each client has one connection at a time. It enters everything that the program sends to it in the record of the trial;
+`rig.rules` checks the record.
 """
 
 from __future__ import annotations
@@ -29,35 +29,35 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientProfile:
-    """How a client behaves; shares are between 0 and 1."""
+    """How a client behaves. Shares are between 0 and 1; each is the share of the events named in its comment."""
 
     name: str
-    set_ups_per_s: float  # set-ups a second
-    give_up_share: float = 0.0  # set-ups that are given up early
-    redial_share: float = 0.0  # refusals after which it comes again at once
-    end_share: float = 0.2  # standing calls that it ends itself
-    pieces_share: float = 0.0  # set-ups that it writes in pieces
-    unexpected_share: float = 0.0  # messages that cannot be used or read
-    confirms_releases: bool = True  # whether it confirms releases
-    hang_up_share: float = 0.0  # set-ups after which it closes at once
-    half_close_share: float = 0.0  # set-ups behind which it sends its end, and goes on to read
-    absence_share: float = 0.0  # moments without an open set-up at which it stops reading for some time
+    set_ups_per_s: float
+    give_up_share: float = 0.0  # set-ups that the client cancels early
+    redial_share: float = 0.0  # refusals after which the client redials at once
+    end_share: float = 0.2  # answered calls that the client releases itself
+    pieces_share: float = 0.0  # messages that the client writes in two pieces
+    unexpected_share: float = 0.0  # turns in which the client sends an invalid or unexpected message
+    confirms_releases: bool = True
+    hang_up_share: float = 0.0  # set-ups after which the client resets its connection at once
+    half_close_share: float = 0.0  # set-ups after which the client half-closes its connection and still reads
+    absence_share: float = 0.0  # turns without an unanswered set-up in which the client stops reading for ABSENCE_S
 
 
 class CallIds:
-    """Ids of calls, each used once in a trial."""
+    """Generates the ids of calls; each id is used once in a trial."""
 
     def __init__(self, seed: int) -> None:
         self._next = (seed + 1) << 32
 
     def next(self) -> int:
-        """An id that no call has had."""
+        """Return an id that no call has had."""
         self._next += 1
         return self._next
 
 
 class Client:
-    """One client and its present connection."""
+    """One client and its present connection to the program."""
 
     def __init__(
         self,
@@ -74,17 +74,17 @@
         self.call_ids = call_ids
         self.destinations = destinations
         self.random = random.Random(seed)
-        self.process_number = 0  # that accepted the connection
-        self.sent_garbage = False  # whether it has sent what cannot be read on the present connection
-        self.unanswered: dict[int, Call] = {}  # on the present connection, without an answer
+        self.process_number = 0  # number of the program's process that accepted the connection
+        self.sent_garbage = False  # whether the client has sent undecodable bytes on the present connection
+        self.unanswered: dict[int, Call] = {}  # set-ups on the present connection without a final answer, by call id
         self.may_connect = True
         self.outbox: deque[tuple[bytes, Call | None]] = deque()
         self.writer_wakeup = trio.Event()
-        self.reading_allowed = trio.Event()  # set while it reads
+        self.reading_allowed = trio.Event()  # set while the client reads
         self.reading_allowed.set()
 
     async def run(self) -> None:
-        """Connect, call and listen until cancelled."""
+        """Connect, place calls and read messages until cancelled; connect again whenever the connection ends."""
         while True:
             sock = await self.connect()
             self.unanswered, self.outbox, self.writer_wakeup, self.sent_garbage = {}, deque(), trio.Event(), False
@@ -96,7 +96,7 @@
             self.close(sock)
 
     async def connect(self) -> trio.socket.SocketType:
-        """A connection to the program, as soon as one comes up."""
+        """Return a connection to the program, retrying until one is established."""
         while True:
             if self.may_connect:
                 sock = trio.socket.socket()
@@ -109,7 +109,7 @@
             await trio.sleep(RECONNECT_PAUSE_S)
 
     def close(self, sock: trio.socket.SocketType) -> None:
-        """The connection is over, as the client sees it."""
+        """Close the connection and record its end for the set-ups that are still unanswered."""
         now = now_us()
         for call in self.unanswered.values():
             call.closed_us = now
@@ -119,7 +119,7 @@
     # --- calls ---
 
     async def place_calls(self, sock: trio.socket.SocketType) -> None:
-        """Set up calls at the client's pace."""
+        """Send set-ups at the rate of the profile, with the faults of the profile."""
         while True:
             await trio.sleep(self.random.expovariate(self.profile.set_ups_per_s))
             if self.random.random() < self.profile.unexpected_share:
@@ -141,19 +141,19 @@
                     self.send(p.encode(p.Release(call.call_id, p.ReleaseCause.NORMAL)))
 
     def happens(self, share: float) -> bool:
-        """Draw whether something of a given share happens; without a draw where it never does."""
+        """Draw whether an event with a given share happens; a share of 0 takes no draw."""
         return share > 0 and self.random.random() < share
 
     async def half_close(self, sock: trio.socket.SocketType, call: Call) -> None:
-        """Send no more behind a set-up, and wait for all that is open."""
+        """Half-close the connection once the set-up is written; the answers are still read."""
         while not call.sent_us:
             await trio.sleep(HALF_CLOSE_POLL_S)
         with contextlib.suppress(OSError):
             sock.shutdown(trio.socket.SHUT_WR)
-        await trio.sleep_forever()  # `listen` sees the end
+        await trio.sleep_forever()  # `receive_messages` notices the end of the connection
 
     def set_up(self) -> Call:
-        """Put one set-up in line."""
+        """Queue one set-up and return its record."""
         call_id = self.call_ids.next()
         class_index = self.random.randrange(len(CLASS_NAMES))
         wait_us = self.record.longest_wait_us // (1 + class_index)
@@ -166,18 +166,18 @@
         return call
 
     def hang_up(self, sock: trio.socket.SocketType) -> None:
-        """Reset the connection: all that is open on it is given up."""
+        """Reset the connection, which cancels all unanswered set-ups on it."""
         for call in self.unanswered.values():
             call.gave_up_us = now_us()
         close_with_reset(sock)
 
     def send(self, data: bytes, call: Call | None = None) -> None:
-        """Put a message in line; the call is entered in the record once its set-up is written."""
+        """Queue a message; the call is entered in the record once its set-up has been written."""
         self.outbox.append((data, call))
         self.writer_wakeup.set()
 
     async def write(self, sock: trio.socket.SocketType) -> None:
-        """Write what is in line, now and then in pieces."""
+        """Write the queued messages, some of them in two pieces."""
         try:
             while True:
                 while self.outbox:
@@ -194,13 +194,13 @@
                 self.writer_wakeup = trio.Event()
                 await self.writer_wakeup.wait()
         except (OSError, trio.ClosedResourceError):
-            await trio.sleep_forever()  # `listen` sees the end
+            await trio.sleep_forever()  # `receive_messages` notices the end of the connection
 
     def unexpected_message(self) -> bytes:
-        """Something that no client should send."""
+        """Return random bytes, or a message that a correct client does not send."""
         choice = self.random.randrange(5)
         if choice == 0:
-            self.sent_garbage = True  # what follows may be taken for a part of it
+            self.sent_garbage = True  # the program may take later messages for a part of these bytes
             for call in self.unanswered.values():
                 call.unchecked = True
             return self.random.randbytes(self.random.randrange(1, 80))
@@ -214,10 +214,10 @@
             return p.encode(p.SetUp(self.call_ids.next(), "none", 0, "xyz", b"x", {"dest": 1, "width": 7}, "nobody"))
         return p.encode(p.HealthCheck(self.random.getrandbits(63)))
 
-    # --- what the program says ---
+    # --- messages of the program ---
 
     async def receive_messages(self, sock: trio.socket.SocketType, scope: trio.CancelScope) -> None:
-        """Hear the program until the connection ends."""
+        """Handle the messages of the program until the connection ends."""
         decoder = p.message_decoder()
         try:
             while data := await self.receive(sock):
@@ -226,19 +226,21 @@
         except (OSError, trio.ClosedResourceError):
             pass
         except p.ProtocolError as error:
-            self.record.unexpected_messages.append(f"{self.profile.name} cannot read the program: {error}")
+            self.record.unexpected_messages.append(
+                f"{self.profile.name} cannot decode a message of the program: {error}"
+            )
         scope.cancel()
 
     async def receive(self, sock: trio.socket.SocketType) -> bytes:
-        """What comes next, as soon as the client reads."""
+        """Return the next bytes, waiting while the client does not read."""
         if sock.fileno() < 0:
-            raise trio.ClosedResourceError  # it has hung up
+            raise trio.ClosedResourceError  # the client has reset the connection itself
         await trio.lowlevel.wait_readable(sock)
         await self.reading_allowed.wait()
         return await sock.recv(RECEIVE_BYTES)
 
     def handle_message(self, message: p.Message) -> None:
-        """One message of the program."""
+        """Record one message of the program; the client may react to it."""
         call = self.record.calls.get(message.call) or self.unanswered.get(message.call)
         if isinstance(message, p.Answer):
             self.handle_answer(call, message)
@@ -246,10 +248,10 @@
             self.handle_release(call, message)
 
     def handle_answer(self, call: Call | None, message: p.Answer) -> None:
-        """The call stands; now and then the client ends it at once."""
+        """Record the answer; the client releases some calls at once."""
         self.unanswered.pop(message.call, None)
         if call is None:
-            self.record.unexpected_messages.append(f"an answer to call {message.call:016x}, which nobody made")
+            self.record.unexpected_messages.append(f"an answer to call {message.call:016x}, which no client has set up")
             return
         call.final_answers.append((now_us(), "answered"))
         call.answered_us = call.answered_us or now_us()
@@ -259,7 +261,7 @@
             self.send(p.encode(p.Release(call.call_id, p.ReleaseCause.NORMAL)))
 
     def handle_release(self, call: Call | None, message: p.Release) -> None:
-        """A refusal or failure, or the end of a call that stood."""
+        """Record a refusal or failure, or the end of an answered call."""
         unanswered_call = self.unanswered.pop(message.call, None)
         if call is not None and call.answered_us:
             call.released_us = call.released_us or now_us()
--- a/rig/clock.py
+++ b/rig/clock.py
@@ -1,13 +1,13 @@
-"""The one clock of a trial: Unix microseconds, as the program and the exchanges read it."""
+"""The clock of a trial: Unix microseconds, the same clock that the program and the exchanges read."""
 
 from __future__ import annotations
 
 import time
 
-SECOND = 1_000_000
-MILLISECOND = 1_000
+SECOND = 1_000_000  # in microseconds
+MILLISECOND = 1_000  # in microseconds
 
 
 def now_us() -> int:
-    """Unix microseconds."""
+    """Return the present time in Unix microseconds."""
     return time.time_ns() // 1000
--- a/rig/discovery.py
+++ b/rig/discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in for discovery: the command channel of one process of the program, and its outages."""
+"""A simulated discovery service: the command channel to the program, and outages of discovery."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """One exchange as discovery has it."""
+    """One exchange as it stands in the exchange list of discovery."""
 
     exchange_id: int
-    exchange_number: int  # cell
+    exchange_number: int  # the destination number of the exchange; a replacement has the same
     host: str
     port: int
     state: str = "ready"
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class PublishedEvent:
-    """One event of the command channel."""
+    """One event of the command channel and the times at which it was published and first sent."""
 
     endpoint: Endpoint
     published_us: int
@@ -41,7 +41,7 @@
 
 
 class Discovery:
-    """The list as it is, and the events since the program's present process was started."""
+    """The present exchange list, and the events since the present process of the program was started."""
 
     def __init__(self, port: int, record: Record) -> None:
         self.port = port
@@ -50,14 +50,14 @@
         self.events: list[PublishedEvent] = []
         self.host = loopback_address(record.seed)
         self.listener = SuspendableListener(self.host, port)
-        self.reachable_us = 0  # since when it can be reached, 0 while it cannot
+        self.reachable_us = 0  # start of the time in which it answers, 0 during an outage
         self._silent = False
         self._delay_s = 0.0
         self._changed = trio.Event()
         self._connections: set[trio.socket.SocketType] = set()
 
     async def run(self) -> None:
-        """Accept and tell until cancelled."""
+        """Accept connections of the program and serve them until cancelled."""
         await self.listener.open()
         self.reachable_us = now_us()
         async with trio.open_nursery() as nursery:
@@ -68,7 +68,7 @@
     # --- the list ---
 
     def publish(self, endpoint: Endpoint) -> None:
-        """Discovery has a change from now on."""
+        """Change the list and send the change to the program."""
         self.endpoints[endpoint.exchange_id] = endpoint
         if endpoint.state == "gone":
             del self.endpoints[endpoint.exchange_id]
@@ -77,23 +77,23 @@
         self._changed = trio.Event()
 
     def set_state(self, exchange_id: int, state: str) -> None:
-        """An exchange drains, or is gone."""
+        """Publish a new state (draining, gone) of an exchange, if it is in the list."""
         if exchange_id in self.endpoints:
             self.publish(replace(self.endpoints[exchange_id], state=state))
 
     def begin_process(self) -> None:
-        """A process of the program is about to start: events are counted anew for it."""
+        """Restart the numbering of events for a process of the program that is about to start."""
         self.record_events()
         self.snapshot = list(self.endpoints.values())
 
     def known_events(self) -> dict[str, object]:
-        """The events so far, as the configuration holds them."""
+        """Return the snapshot and the events so far, as the value of `known` in the configuration."""
         commands = [channel_command(1, True, self.snapshot)]
         commands += [channel_command(k, False, [event.endpoint]) for k, event in enumerate(self.events, 2)]
         return {"cursor": len(commands), "cmds": commands}
 
     def record_events(self) -> None:
-        """Enter the events so far in the record, and begin anew."""
+        """Enter the events so far in the record and clear them."""
         for event in self.events:
             reachable = max(event.published_us, self.reachable_us) if self.reachable_us else 0
             self.record.list_events.append(
@@ -111,7 +111,7 @@
         self._connections.clear()
 
     def start_outage(self, unresponsive: bool) -> None:
-        """Refuse connects, or answer none at all; open connections are reset or stay silent."""
+        """Start an outage: stop replying on all connections, or refuse connects and reset open connections."""
         self.reachable_us = 0
         if unresponsive:
             self._silent = True
@@ -121,12 +121,12 @@
             self.listener.close()
 
     def stop_responding(self) -> None:
-        """Accept, and tell nothing."""
+        """Start an outage: accept connections but send nothing on any."""
         self.reachable_us = 0
         self._silent = True
 
     async def end_outage(self) -> None:
-        """Serve again; connections from before stay as they are, silent ones stay silent."""
+        """End an outage; connections from before it stay open and silent."""
         if self.reachable_us:
             return
         silent, self._silent = self._silent, False
@@ -138,13 +138,13 @@
         self._connections.clear()
 
     def delay_first_frame(self, delay_s: float) -> None:
-        """Take some time before the first frame of a connection."""
+        """Delay the first frame of each further connection."""
         self._delay_s = delay_s
 
     # --- connections ---
 
     async def serve(self, sock: trio.socket.SocketType) -> None:
-        """One connection of the program."""
+        """Serve one connection of the program: events as they come, a heartbeat while there are none."""
         self._connections.add(sock)
         with sock, contextlib.suppress(OSError, trio.ClosedResourceError):
             cursor = await self.read_cursor(sock)
@@ -158,11 +158,11 @@
                 if self._silent:
                     await trio.sleep_forever()
             if cursor >= 0:
-                await trio.sleep_forever()  # from before an outage: open and silent
+                await trio.sleep_forever()  # the connection is from before an outage: keep it open and silent
 
     @staticmethod
     async def read_cursor(sock: trio.socket.SocketType) -> int:
-        """The number of the last event that the program has."""
+        """Read the number of the last event that the program has received."""
         data = b""
         while len(data) < p.CURSOR.size:
             more = await sock.recv(p.CURSOR.size - len(data))
@@ -172,7 +172,7 @@
         return int(p.CURSOR.unpack(data)[0])
 
     async def send_events(self, sock: trio.socket.SocketType, cursor: int) -> int:
-        """Write the events after a number, or an empty frame; the number of the last one written."""
+        """Write the events after event `cursor`, or a heartbeat; return the number of the last event written."""
         waiting = list(enumerate(self.events, 2))[max(0, cursor - 1) :]
         for number, event in waiting:
             await send_all(sock, encode_frame(number, event.endpoint))
@@ -183,8 +183,8 @@
         return cursor
 
 
-def channel_command(number: int, snapshot: bool, endpoints: list[Endpoint]) -> dict[str, object]:
-    """One event as the configuration holds it."""
+def channel_command(number: int, is_snapshot: bool, endpoints: list[Endpoint]) -> dict[str, object]:
+    """Return one event in the form of the configuration."""
     listed = [
         {
             "name": f"s-{e.exchange_id:08x}", "address": f"{e.host}:{e.port}", "zone": "z", "type": "std",
@@ -192,11 +192,11 @@
         }
         for e in endpoints
     ]  # fmt: skip
-    return {"cursor": number, "nodes": {"index": number, "snapshot": snapshot, "endpoints": listed}}
+    return {"cursor": number, "nodes": {"index": number, "snapshot": is_snapshot, "endpoints": listed}}
 
 
 def encode_frame(number: int, endpoint: Endpoint) -> bytes:
-    """One change as a frame."""
+    """Encode a change of one exchange as a frame of the command channel."""
     record = p.RECORD.pack(
         endpoint.exchange_id, socket.inet_aton(endpoint.host), endpoint.port, STATE_CODES[endpoint.state], 0, 0,
         endpoint.exchange_number, 1000, endpoint.started_ms,
--- a/rig/exchange.py
+++ b/rig/exchange.py
@@ -1,7 +1,7 @@
-"""A stand-in for one exchange, as a process of its own: `python -m rig.exchange HOST PORT OPTIONS SEED`.
+"""A simulated exchange in a process of its own: `python -m rig.exchange HOST PORT OPTIONS SEED`.
 
-It speaks the platform's protocol as docs/soak.md says, writes one JSON line per event to standard output and takes new
-options as JSON lines on standard input. It must know nothing of the rules that a trial checks.
+It implements the exchange side of the protocol as docs/soak.md describes it, writes one JSON line per event to standard
+output and reads new options as JSON lines from standard input. It must not depend on the rules that a trial checks.
 """
 
 from __future__ import annotations
@@ -23,30 +23,30 @@
 from .clock import now_us
 from .sockets import close_with_reset, send_all
 
-MAX_GROUP_STATE_RECIPIENTS = 4  # open connections that are told group states
+MAX_GROUP_STATE_RECIPIENTS = 4  # open connections that receive each change of the group state
 RECEIVE_BYTES = 64 * 1024
-PIECE_PAUSE_S = (0.001, 0.008)  # between two pieces of a message: a connection still carries a hundred a second
+PIECE_PAUSE_S = (0.001, 0.008)  # pause between two pieces; a connection still carries a hundred messages per second
 
 
 @dataclass(slots=True)
 class ExchangeOptions:
-    """What the exchange does wrong, and its pace. Shares are between 0 and 1."""
+    """The timing and the faults of the exchange. Shares are between 0 and 1."""
 
     size: int = 40  # circuits
-    answer_ms: tuple[int, int] = (3, 30)
-    hold_ms: tuple[int, int] = (1500, 8000)
-    refuse: float = 0.0  # set-ups refused as full
-    fail: float = 0.0  # set-ups that end in an error
-    reset: float = 0.0  # set-ups under which the connection is reset
-    lose_answer: float = 0.0
-    second_answer: float = 0.0
-    spoil_answer: float = 0.0  # answers that cannot be read
-    pieces: float = 0.0  # messages that leave in pieces
+    answer_ms: tuple[int, int] = (3, 30)  # shortest and longest time from set-up to answer
+    hold_ms: tuple[int, int] = (1500, 8000)  # shortest and longest time from answer to end
+    refuse: float = 0.0  # set-ups refused with NO_CIRCUIT
+    fail: float = 0.0  # set-ups refused with RESOURCE_UNAVAILABLE
+    reset: float = 0.0  # set-ups on which the exchange resets the connection
+    lose_answer: float = 0.0  # answers that are not sent
+    second_answer: float = 0.0  # answers that are sent twice
+    spoil_answer: float = 0.0  # answers that are sent corrupted
+    pieces: float = 0.0  # messages that are written in two pieces
 
 
 @dataclass(slots=True, eq=False)
 class Connection:
-    """One connection of a session controller."""
+    """One connection from a session controller."""
 
     sock: trio.socket.SocketType
     number: int
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """A set-up, and the call that it may become."""
+    """A set-up, and the call after its answer."""
 
     call_id: int
     connection: Connection
@@ -67,7 +67,7 @@
 
 
 class Exchange:
-    """The state of one exchange."""
+    """The state of one simulated exchange."""
 
     def __init__(self, host: str, port: int, options: ExchangeOptions, seed: int) -> None:
         self.host = host
@@ -76,12 +76,12 @@
         self.random = random.Random(seed)
         self.connections: list[Connection] = []
         self.calls: dict[int, Call] = {}
-        self.pending_releases: dict[int, bytes] = {}  # releases that are to be sent on the next connection too
+        self.pending_releases: dict[int, bytes] = {}  # releases to repeat on the next connection, by call id
         self.accepted = 0
         self.nursery: trio.Nursery
 
     async def run(self) -> None:
-        """Serve until the process is ended."""
+        """Accept connections and read options until the process is ended."""
         listener = trio.socket.socket()
         listener.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_REUSEADDR, 1)
         await listener.bind((self.host, self.port))
@@ -94,13 +94,13 @@
                 self.nursery.start_soon(self.serve, sock)
 
     def report(self, event: str, call: int = 0, port: int = 0) -> None:
-        """Tell the trial of an event; the port is that of the peer's end of the connection which it concerns, or
-        the exchange's own of an answer."""
+        """Report an event to the trial. The port is the exchange's own for "answered", and the peer's port of the
+        connection on which the release was sent for "told"."""
         sys.stdout.write(json.dumps({"at": now_us(), "event": event, "call": call, "port": port}) + "\n")
         sys.stdout.flush()
 
     async def read_options(self) -> None:
-        """Take new options as they come."""
+        """Apply new options as they arrive; names that are no options are ignored."""
         stream = trio.wrap_file(sys.stdin)
         async for line in stream:
             option_names = {field.name for field in fields(ExchangeOptions)}
@@ -108,17 +108,20 @@
             self.options = ExchangeOptions(**{**asdict(self.options), **changes})
 
     def happens(self, share: float) -> bool:
-        """Draw whether something of a given share happens now."""
+        """Draw whether an event with a given share happens."""
         return self.random.random() < share
 
     def draw_seconds(self, span_ms: tuple[int, int]) -> float:
-        """A time within a span, in seconds."""
+        """Draw a time within a span; in seconds."""
         return self.random.uniform(*span_ms) / 1000
 
     # --- connections ---
 
     async def serve(self, sock: trio.socket.SocketType) -> None:
-        """One connection, from its group state to its end; one that has ended in the queue was never open."""
+        """Serve one connection: send the initial messages, then read and write until it ends.
+
+        A connection that the peer has closed while it was in the accept queue is closed without being served.
+        """
         if self.peer_has_closed(sock):
             sock.close()
             return
@@ -137,7 +140,7 @@
 
     @staticmethod
     def peer_has_closed(sock: trio.socket.SocketType) -> bool:
-        """Whether the peer has closed or reset a connection already."""
+        """Whether the peer has already closed or reset the connection."""
         with socket.socket(fileno=os.dup(sock.fileno())) as duplicate:
             try:
                 return not duplicate.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
@@ -147,7 +150,7 @@
                 return True
 
     async def read(self, connection: Connection) -> None:
-        """Hear messages until the connection ends."""
+        """Handle messages until the connection ends."""
         decoder = p.message_decoder()
         with contextlib.suppress(OSError, trio.ClosedResourceError, p.ProtocolError):
             while data := await connection.sock.recv(RECEIVE_BYTES):
@@ -155,7 +158,7 @@
                     self.handle_message(connection, message)
 
     async def write(self, connection: Connection) -> None:
-        """Write what waits, some of it in pieces."""
+        """Write the queued messages, some of them in two pieces."""
         with contextlib.suppress(OSError, trio.ClosedResourceError):
             while True:
                 while connection.outbox:
@@ -170,12 +173,12 @@
                 await connection.writer_wakeup.wait()
 
     def send(self, connection: Connection, data: bytes) -> None:
-        """Put bytes in line for a connection."""
+        """Queue one encoded message on a connection."""
         connection.outbox.append(data)
         connection.writer_wakeup.set()
 
     def close_connection(self, connection: Connection, abort: bool = False) -> None:
-        """A connection has ended: the set-ups open on it are given up."""
+        """Close a connection and drop its unanswered set-ups; answered calls stay."""
         if connection.closed:
             return
         connection.closed = True
@@ -192,18 +195,18 @@
     # --- calls ---
 
     def group_state(self) -> p.GroupState:
-        """The free circuits as they are now."""
+        """Return the present number of free circuits as a message."""
         free = max(0, self.options.size - len(self.calls))
         return p.GroupState(0, {"spare": free, "total": self.options.size, "allowed": 200})
 
     def send_group_state(self) -> None:
-        """Tell the open connections that the free circuits have changed."""
+        """Send the changed number of free circuits on the first open connections."""
         data = p.encode(self.group_state())
         for connection in self.connections[:MAX_GROUP_STATE_RECIPIENTS]:
             self.send(connection, data)
 
     def handle_message(self, connection: Connection, message: p.Message) -> None:
-        """One message of a session controller."""
+        """Handle one message of a session controller."""
         if isinstance(message, p.SetUp):
             self.handle_set_up(connection, message)
         elif isinstance(message, p.Release):
@@ -212,7 +215,7 @@
             self.send(connection, p.encode(p.HealthCheckResult(message.call, True)))
 
     def handle_set_up(self, connection: Connection, message: p.SetUp) -> None:
-        """A set-up is refused, fails, is passed over or becomes a call."""
+        """Refuse or fail a set-up, reset its connection, or start a call."""
         refusal = None
         if len(self.calls) >= self.options.size or self.happens(self.options.refuse):
             refusal = p.Release(message.call, p.ReleaseCause.NO_CIRCUIT, "no_circuit")
@@ -225,13 +228,13 @@
             self.send(connection, p.encode(refusal))
             return
         if (previous := self.calls.pop(message.call, None)) is not None:
-            previous.scope.cancel()  # an attempt whose answer was lost: the new one takes its place
+            previous.scope.cancel()  # an attempt whose answer was lost; the new attempt replaces it
             self.report("released", previous.call_id)
         call = self.calls[message.call] = Call(message.call, connection, trio.CancelScope())
         self.nursery.start_soon(partial(self.run_call, call))
 
     def handle_release(self, connection: Connection, message: p.Release) -> None:
-        """A set-up is given up, or a call that stands is ended."""
+        """Cancel an unanswered set-up or end an answered call, and confirm the release."""
         call = self.calls.pop(message.call, None)
         self.send(connection, p.encode(p.ReleaseConfirmed(message.call)))
         if call is not None:
@@ -240,7 +243,7 @@
             self.send_group_state()
 
     async def run_call(self, call: Call) -> None:
-        """A call from its set-up to its own end."""
+        """Answer a call after its answer time and end it after its hold time."""
         with call.scope:
             await trio.sleep(self.draw_seconds(self.options.answer_ms))
             self.answer(call)
@@ -248,7 +251,7 @@
             self.end_call(call)
 
     def answer(self, call: Call) -> None:
-        """The call stands from now on, whether its answer arrives or not."""
+        """Mark the call as answered and send the answer, unless the options lose or corrupt it."""
         call.answered = True
         self.report("answered", call.call_id, self.port)
         self.send_group_state()
@@ -262,7 +265,7 @@
             self.send(call.connection, data)
 
     def end_call(self, call: Call) -> None:
-        """The call has come to its end: tell on its connection or any other, and on the next one opened."""
+        """End a call: send its release on its own or another open connection, and again on the next new one."""
         if self.calls.get(call.call_id) is not call:
             return
         del self.calls[call.call_id]
@@ -277,13 +280,13 @@
         self.pending_releases[call.call_id] = data
 
     def send_end(self, connection: Connection, call: int, data: bytes) -> None:
-        """Release a call that is over on a connection, whether anybody listens there or not."""
+        """Send the release of an ended call on a connection, whether or not its peer still reads."""
         self.report("told", call, connection.peer_port)
         self.send(connection, data)
 
 
 def peer_port(sock: trio.socket.SocketType) -> int:
-    """The port at the other end of a connection, 0 if that has ended."""
+    """Return the port of the peer, or 0 if the connection has ended."""
     try:
         return int(sock.getpeername()[1])
     except OSError:
@@ -291,12 +294,12 @@
 
 
 def answer_description(port: int, call: int) -> bytes:
-    """What an exchange answers a call with; no other exchange and no other call has the same."""
+    """Return the session description in the answer to a call; it differs for every exchange and every call."""
     return b"v=0 %d %016x\xff" % (port, call)
 
 
 def main() -> None:
-    """Serve at the address given, with options as JSON and a seed."""
+    """Run an exchange with the address, the options as JSON and the seed of the command line."""
     host, port, options, seed = sys.argv[1], int(sys.argv[2]), json.loads(sys.argv[3]), int(sys.argv[4])
     trio.run(Exchange(host, port, ExchangeOptions(**options), seed).run)
 
--- a/rig/known_red.py
+++ b/rig/known_red.py
@@ -1,8 +1,9 @@
-"""The list of known failures, KNOWN-RED.txt: which failure of a test or a trial is passed over, and shown.
+"""Reads KNOWN-RED.txt, the list of known failures of tests and trials, which are reported but do not fail a run.
 
-One entry a line: test, failure, what was seen, issue, separated by ` | `. The test is a pytest id or `rig.soak SEED`.
-The failure is the text that the error of the test holds, or the broken rule of the trial, with `RULE: TEXT` only where
-the violation holds the text. Any other failure of the same test or trial counts.
+Each line is one entry: test, failure, what was seen, issue, separated by ` | `. The test is a pytest id or
+`rig.soak SEED`. The failure is a text contained in the error of the test, or the name of the broken rule of the trial.
+`RULE: TEXT` matches only violations of the rule whose text contains TEXT. Any other failure of the same test or trial
+counts.
 """
 
 from __future__ import annotations
@@ -20,12 +21,12 @@
 
 
 class InvalidListError(ValueError):
-    """The list is not as it should be."""
+    """The list has too many entries, or an entry lacks a field."""
 
 
 @dataclass(slots=True, frozen=True)
 class KnownFailure:
-    """One entry."""
+    """One entry of the list."""
 
     test: str
     failure: str
@@ -33,13 +34,13 @@
     issue: str
 
     def matches(self, violation: Violation) -> bool:
-        """Whether a broken rule of the trial is the one of this entry."""
+        """Whether a violation in a trial is the failure of this entry."""
         rule, _, text = self.failure.partition(": ")
         return violation.rule == rule and text in violation.text
 
 
 def read(path: Path | None = None) -> list[KnownFailure]:
-    """The entries of the list, or of another file; ListError if there are too many, or one lacks a field."""
+    """Read the entries of KNOWN-RED.txt or of another file; raises InvalidListError."""
     path = path or PATH
     lines = [line for line in path.read_text().splitlines() if line.strip()] if path.exists() else []
     entries = [[field.strip() for field in line.split(" | ")] for line in lines]
@@ -53,7 +54,7 @@
 def split_known(
     name: str, violations: Sequence[Violation], known: Sequence[KnownFailure]
 ) -> tuple[list[Violation], list[Violation]]:
-    """The broken rules of a trial that count, and those that are passed over."""
+    """Split the violations of the trial `name` into those that count and those that an entry passes over."""
     entries = [entry for entry in known if entry.test == TRIAL_PREFIX + name]
     passed_over = [v for v in violations if any(entry.matches(v) for entry in entries)]
     return [v for v in violations if v not in passed_over], passed_over
--- a/rig/program.py
+++ b/rig/program.py
@@ -1,4 +1,4 @@
-"""The program under test: its processes one after another, their configuration, signals and logs."""
+"""The program under test: its successive processes, their configuration, signals and logs."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 ROOT = Path(__file__).parent.parent
 CLASS_NAMES = ("premium quote", "renewal quote")
 TENANT = "acme"
-MAX_WAIT_BEFORE_KILL_US = 3 * SECOND  # of the longest wait
-KILL_MARGIN_US = 700 * MILLISECOND
+MAX_WAIT_BEFORE_KILL_US = 3 * SECOND  # the longest wait counts up to this towards the time before SIGKILL
+KILL_MARGIN_US = 700 * MILLISECOND  # on top of the wait
 READY_TIMEOUT_S = 10.0
 
 
 def settings(longest_wait_us: int, max_attempts: int) -> dict[str, object]:
-    """Settings in the form of the configuration file; the second class waits half as long."""
+    """Return settings in the form of the configuration file; callers of the second class wait half as long."""
     grades = [
         {
             "give-up-us": longest_wait_us // (1 + k), "importance": 1.0, "late-value": 0.1, "name": name,
@@ -58,7 +58,7 @@
 
 
 class Program:
-    """The program at one address, as one process after another."""
+    """The program at one address, run by one process at a time."""
 
     def __init__(self, record: Record, port: int, channel_port: int, sockets: int = 512) -> None:
         deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
@@ -78,28 +78,28 @@
 
     @property
     def current_process(self) -> Process:
-        """The record of the process started last."""
+        """The record of the process that was started last."""
         return self.record.processes[-1]
 
     @property
     def kill_after_us(self) -> int:
-        """How long after SIGTERM SIGKILL may come at the earliest."""
+        """The shortest time after SIGTERM at which SIGKILL may follow."""
         return min(self.record.longest_wait_us, MAX_WAIT_BEFORE_KILL_US) + KILL_MARGIN_US
 
     def write_config(self, known: Mapping[str, object]) -> None:
-        """Put the configuration in place, whole."""
+        """Replace the configuration file atomically."""
         self.config["known"] = known
         temporary = self.config_path.with_suffix(".new")
         temporary.write_text(json.dumps(self.config))
         temporary.replace(self.config_path)
 
     def change_settings(self, longest_wait_us: int) -> None:
-        """Other waits count from the next SIGHUP on; never longer ones than the trial's."""
+        """Set other waits, at most as long as those of the trial, for the next configuration file."""
         changed = copy.deepcopy(settings(longest_wait_us, self.record.max_attempts))
         self.config["settings"] = changed
 
     def start(self) -> None:
-        """Start a process with the configuration in place."""
+        """Start a process with the present configuration file."""
         self.record.processes.append(Process(len(self.record.processes) + 1, now_us()))
         environment = {**os.environ, "GW_CONFIG": str(self.config_path), "TMPDIR": self.directory.name}
         with self.log_path.open("ab") as log:
@@ -108,12 +108,12 @@
             )
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal to the process, if it still runs."""
+        """Send a signal to the process if it is still running."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
     async def wait_for_exit(self) -> None:
-        """Wait until the process has ended; its end is recorded with its log."""
+        """Wait until the process has ended, and record the time and the exit code."""
         process, entry = self.process, self.current_process
         assert process is not None
         while process.poll() is None:
@@ -123,7 +123,7 @@
             entry.exit_code = process.returncode
 
     async def terminate(self) -> None:
-        """SIGTERM, then SIGKILL as early as it may come, unless the process has ended before."""
+        """Send SIGTERM, then SIGKILL after `kill_after_us` if the process is still running."""
         entry = self.current_process
         entry.terminated_us = now_us()
         self.send_signal(signal.SIGTERM)
@@ -133,13 +133,13 @@
             await self.kill()
 
     async def kill(self) -> None:
-        """SIGKILL."""
+        """Send SIGKILL and wait until the process has ended."""
         self.current_process.killed_us = now_us()
         self.send_signal(signal.SIGKILL)
         await self.wait_for_exit()
 
     def close(self) -> None:
-        """End what runs, keep the log, remove the files."""
+        """End the process, copy the log into the record and remove the files."""
         if self.process is not None and self.process.poll() is None:
             self.process.kill()
             self.process.wait()
--- a/rig/proxy.py
+++ b/rig/proxy.py
@@ -1,4 +1,4 @@
-"""A proxy before each exchange: it forwards bytes, cuts, holds and resets connections, and records what passes."""
+"""A proxy in front of each exchange: it forwards bytes, injects network faults and records the attempts of calls."""
 
 from __future__ import annotations
 
@@ -19,25 +19,25 @@
 
 @dataclass(slots=True, eq=False)
 class Link:
-    """One connection from the program to the exchange."""
+    """One connection from the program to the exchange, forwarded over two sockets."""
 
     number: int
     process_number: int
     program_sock: trio.socket.SocketType
     accepted_us: int = 0
     exchange_sock: trio.socket.SocketType | None = None
-    to_exchange: deque[bytes] = field(default_factory=deque)  # on the way to the exchange
+    to_exchange: deque[bytes] = field(default_factory=deque)  # received from the program and not yet forwarded
     writer_wakeup: trio.Event = field(default_factory=trio.Event)
     open_attempts: dict[int, Attempt] = field(default_factory=dict)
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
-    source_port: int = 0  # by which the exchange knows it
-    blackholed: bool = False  # the machine behind it is no more: it stays open and silent
-    half_open: bool = False  # reset towards the program, and open to the exchange
+    source_port: int = 0  # of the connection to the exchange, which sees it as the port of its peer
+    blackholed: bool = False  # stays open, but nothing passes any more
+    half_open: bool = False  # reset towards the program, still open to the exchange
     closed: bool = False
 
 
 class Proxy:
-    """The address of one exchange, and the network to it."""
+    """The published address of one exchange, and the network between the program and the exchange."""
 
     def __init__(self, exchange_id: int, port: int, target: int, record: Record, seed: int) -> None:
         self.exchange_id = exchange_id
@@ -48,14 +48,14 @@
         self.host = loopback_address(record.seed)
         self.listener = SuspendableListener(self.host, port)
         self.links: list[Link] = []
-        self.by_source_port: dict[int, Link] = {}  # also those that are closed
+        self.by_source_port: dict[int, Link] = {}  # includes closed connections
         self.accepted = 0
-        self.process_number = 0  # number of the program's process
+        self.process_number = 0  # number of the program's present process
         self._network_up = trio.Event()
         self._network_up.set()
 
     async def run(self) -> None:
-        """Accept and forward until cancelled."""
+        """Accept and forward connections until cancelled."""
         await self.listener.open()
         async with trio.open_nursery() as nursery:
             while True:
@@ -65,23 +65,23 @@
     # --- faults ---
 
     def cut_network(self) -> None:
-        """The network to the exchange is cut: open connections stay open and silent, new ones never come up."""
+        """Cut the network to the exchange: open connections stay open but pass nothing, connects get no reply."""
         self._network_up = trio.Event()
         self.listener.suspend()
 
     def restore_network(self) -> None:
-        """The network passes again, with all that was held."""
+        """Restore the network; bytes that were delayed are forwarded."""
         self.listener.resume()
         self._network_up.set()
 
     def lose_host(self) -> None:
-        """The machine vanishes: what is open stays silent for ever."""
+        """Let the host of the exchange vanish: open connections never pass anything again, connects get no reply."""
         self.listener.suspend()
         for link in self.links:
             link.blackholed = True
 
     def replace_host(self, target: int) -> None:
-        """Another machine has the address: it resets what it does not know."""
+        """Let another host take over the address: it resets the connections of the old host, which it does not know."""
         self.target = target
         for link in list(self.links):
             if link.blackholed:
@@ -90,21 +90,21 @@
         self._network_up.set()
 
     def stop_listening(self) -> None:
-        """Nothing listens at the address."""
+        """Stop listening, so that connects are refused."""
         self.listener.close()
 
     async def start_listening(self) -> None:
-        """Something listens at the address again."""
+        """Listen at the address again."""
         await self.listener.open()
 
     def close_some(self, share: float, abort: bool) -> None:
-        """Reset some of the connections, or close them."""
+        """Close some of the connections, with a reset if `abort` is set."""
         for link in list(self.links):
             if not link.blackholed and self.random.random() < share:
                 self.end_link(link, AttemptEnd.BROKEN, abort)
 
     def reset_program_side(self, share: float) -> None:
-        """The network resets some of the connections towards the program alone: to the exchange they stay open."""
+        """Reset some of the connections towards the program only; to the exchange they stay open."""
         for link in self.links:
             if not link.blackholed and not link.half_open and self.random.random() < share:
                 link.half_open = True
@@ -113,14 +113,14 @@
                 close_with_reset(link.program_sock)
 
     def blackhole_some(self, share: float) -> None:
-        """The network forgets some of the connections: they stay open, and nothing passes any more."""
+        """Drop the network state of some connections: they stay open, but nothing passes any more."""
         for link in self.links:
             link.blackholed = link.blackholed or self.random.random() < share
 
     # --- connections ---
 
     async def forward(self, program_sock: trio.socket.SocketType) -> None:
-        """One connection, both ways."""
+        """Forward one connection in both directions until it ends."""
         self.accepted += 1
         link = Link(self.accepted, self.process_number, program_sock, accepted_us=now_us())
         self.links.append(link)
@@ -131,7 +131,7 @@
                     await link.exchange_sock.connect((self.host, self.target))
                     link.source_port = link.exchange_sock.getsockname()[1]
                     self.by_source_port[link.source_port] = link
-                except (OSError, trio.ClosedResourceError):  # or it has been broken meanwhile
+                except (OSError, trio.ClosedResourceError):  # or the link was closed during the connect
                     self.end_link(link, AttemptEnd.BROKEN, abort=True)
                     return
                 async with trio.open_nursery() as nursery:
@@ -142,7 +142,7 @@
             self.end_link(link, AttemptEnd.BROKEN)
 
     def end_link(self, link: Link, end: AttemptEnd, abort: bool = False) -> None:
-        """A connection is over: the set-ups open on it are given up."""
+        """Close both sides of a link and end the open attempts on it."""
         if link.closed:
             return
         link.closed = True
@@ -158,13 +158,13 @@
         link.scope.cancel()
 
     async def wait_for_network(self, link: Link) -> None:
-        """Wait until the network passes bytes of a connection."""
+        """Wait until the network passes bytes of a link; for ever if the link is blackholed."""
         while link.blackholed:
             await trio.sleep_forever()
         await self._network_up.wait()
 
     async def read_from_program(self, link: Link) -> None:
-        """Hear the program. What it has written counts as written, also while the network is cut."""
+        """Receive and record the messages of the program. They count as sent even while the network is cut."""
         decoder = p.message_decoder()
         abort = False
         try:
@@ -180,7 +180,7 @@
         self.end_link(link, AttemptEnd.CLOSED, abort)
 
     async def write_to_exchange(self, link: Link) -> None:
-        """Pass on what the program has written, as the network lets it."""
+        """Forward the bytes of the program to the exchange while the network is up."""
         assert link.exchange_sock is not None
         try:
             while True:
@@ -190,10 +190,10 @@
                 link.writer_wakeup = trio.Event()
                 await link.writer_wakeup.wait()
         except (OSError, trio.ClosedResourceError):
-            await trio.sleep_forever()  # `pump_to_program` sees the end
+            await trio.sleep_forever()  # `forward_to_program` notices the end of the connection
 
     async def forward_to_program(self, link: Link) -> None:
-        """From the exchange to the program."""
+        """Forward the bytes of the exchange to the program and record the messages in them."""
         assert link.exchange_sock is not None
         decoder = p.message_decoder()
         readable, abort = True, False
@@ -208,7 +208,7 @@
                         for message in decoder.feed(data):
                             self.record_to_program(link, message)
                     except p.ProtocolError:
-                        readable = False  # a spoilt answer
+                        readable = False  # a corrupted answer: the rest cannot be decoded either
         except (OSError, trio.ClosedResourceError):
             abort = True
         if link.blackholed:
@@ -219,7 +219,7 @@
     # --- the record ---
 
     def record_to_exchange(self, link: Link, message: p.Message) -> None:
-        """The program has written a message."""
+        """Record a message that the program has written to the exchange."""
         now = now_us()
         if isinstance(message, p.SetUp):
             attempt = Attempt(message.call, self.exchange_id, link.number, now)
@@ -229,7 +229,7 @@
             self.end_attempt(link, message.call, AttemptEnd.GIVEN_UP)
 
     def record_to_program(self, link: Link, message: p.Message) -> None:
-        """A message has been passed to the program."""
+        """Record a message that has been forwarded to the program."""
         if isinstance(message, p.Answer):
             self.end_attempt(link, message.call, AttemptEnd.ANSWERED)
         elif isinstance(message, p.Release):
@@ -242,7 +242,7 @@
                 standing.delivered_on_link = standing.delivered_on_link or link.number
 
     def describe(self, source_port: int) -> str:
-        """A connection and its state, by the port that the exchange knows it by."""
+        """Describe the link with a source port and its state, for the text of a violation."""
         link = self.by_source_port.get(source_port)
         if link is None:
             return "a connection that had ended"
@@ -252,7 +252,7 @@
 
     @staticmethod
     def end_attempt(link: Link, call: int, end: AttemptEnd) -> None:
-        """The attempt of a call on a connection is over."""
+        """Record how the open attempt of a call on a link ended, if there is one."""
         attempt = link.open_attempts.pop(call, None)
         if attempt is not None:
             attempt.end, attempt.end_us = end, now_us()
--- a/rig/record.py
+++ b/rig/record.py
@@ -1,4 +1,4 @@
-"""What a trial has seen, as plain records; times are Unix microseconds, 0 where something has not happened."""
+"""The observations of a trial as plain data. Times are Unix microseconds; 0 means that the event has not happened."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class AttemptEnd(Enum):
-    """How an attempt ended, as seen between the program and the exchange."""
+    """How an attempt ended, as the proxy between the program and the exchange observed it."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """A set-up that the program has written to an exchange."""
+    """A set-up that the program has sent to an exchange."""
 
     call_id: int
     exchange_id: int
@@ -31,41 +31,43 @@
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """A set-up of a client, from its last byte on."""
+    """A set-up of a client, recorded once its last byte is written, and the call after its answer."""
 
     call_id: int
     client: str
     process_number: int  # number of the program's process that accepted its connection
     sent_us: int
     wait_us: int
-    unchecked: bool = False  # it cannot be used, or uses an id again: what it gets is not checked
+    unchecked: bool = False  # invalid, or with an id used before: the answers to it are not checked
     gave_up_us: int = 0
-    final_answers: list[tuple[int, str]] = field(default_factory=list)  # when, and what
+    final_answers: list[tuple[int, str]] = field(default_factory=list)  # time and kind of each final answer
     answered_us: int = 0
     description: bytes = b""
-    ended_by_client_us: int = 0
-    released_us: int = 0  # when any client was told that it is over
-    closed_us: int = 0  # when its connection ended, as its client saw it
+    ended_by_client_us: int = 0  # when the client released it
+    released_us: int = 0  # when the release of the answered call reached a client
+    closed_us: int = 0  # when the connection ended, as the client observed it, before a final answer
 
 
 @dataclass(slots=True, eq=False)
 class StandingCall:
-    """A call that stood at an exchange, as that exchange or its death has it."""
+    """A call that an exchange answered, as reported by the exchange; if the exchange is killed, the call ends then."""
 
     call_id: int
     exchange_id: int
     answered_us: int
-    description: bytes = b""  # what its exchange answered it with
+    description: bytes = b""  # the session description in the answer
     ended_us: int = 0
-    delivered_us: int = 0  # when its release was passed to the program
-    delivered_on_link: int = 0  # the connection on which that was
-    released_by_program: bool = False  # the program released it
-    end_sent_on: list[str] = field(default_factory=list)  # the connections on which its exchange told its end
+    delivered_us: int = 0  # when its release was forwarded to the program
+    delivered_on_link: int = 0  # number of the link on which the release was forwarded
+    released_by_program: bool = False  # whether the program released the call
+    end_sent_on: list[str] = field(
+        default_factory=list
+    )  # descriptions of the links on which the exchange sent the release
 
 
 @dataclass(slots=True, frozen=True)
 class ListEvent:
-    """A change of the list: when discovery had it and could be reached, and when it was passed to the program."""
+    """A change of the exchange list: its publication, when discovery was reachable after it, its first sending."""
 
     exchange_id: int
     state: str
@@ -76,7 +78,7 @@
 
 @dataclass(slots=True, eq=False)
 class Process:
-    """One process of the program."""
+    """One process of the program and the signals that it received."""
 
     number: int
     started_us: int
@@ -90,7 +92,7 @@
 
 @dataclass(slots=True, eq=False)
 class Record:
-    """All that one trial has seen."""
+    """All observations of one trial, and the limits that its rules use."""
 
     seed: int
     longest_wait_us: int
@@ -103,6 +105,6 @@
     list_events: list[ListEvent] = field(default_factory=list)
     processes: list[Process] = field(default_factory=list)
     faults: list[tuple[int, str]] = field(default_factory=list)
-    unexpected_messages: list[str] = field(default_factory=list)  # messages to clients that nobody can explain
-    stall_us: int = 0  # by how much the trial itself was late at the most: the error of its times
+    unexpected_messages: list[str] = field(default_factory=list)  # messages to clients that cannot be valid
+    stall_us: int = 0  # the longest delay of the trial's own event loop: the error of its times
     ended_us: int = 0
--- a/rig/rules.py
+++ b/rig/rules.py
@@ -1,7 +1,8 @@
-"""The rules, judged over the record of a trial. Pure: no clock, no sockets.
+"""The rules, checked against the record of a trial. Pure functions: no clock, no sockets.
 
-Figures are those of the protocol page, with its 50 ms for each time limit; where a moment is measured on the far side
-of a socket, the measurement errs towards the program. What the trial itself was late by, on a busy machine, is added.
+The limits are those of the protocol page, with the 50 ms that it allows on each time limit. Where a time is measured at
+the other end of a socket, the measurement errs in favour of the program. The delay of the trial's own event loop on a
+busy machine is added to each limit.
 """
 
 from __future__ import annotations
@@ -14,21 +15,23 @@
 from .record import Attempt, AttemptEnd, Call, ListEvent, Process, Record, StandingCall
 
 TIME_LIMIT_SLACK_US = 50 * MILLISECOND
-LOST_AFTER_US = 500 * MILLISECOND  # a final answer so late earns nothing; later it is lost
-CLOSE_RACE_US = 50 * MILLISECOND  # a set-up that crosses a close this closely is sent once more
-ACCEPTS_AFTER_SIGTERM_US = 700 * MILLISECOND  # after SIGTERM; what comes later is lost only by being left unanswered
-RELEASE_LIMIT_US = 1 * SECOND  # from the exchange's release to the client's
-MISSED_END_LIMIT_US = 8 * SECOND  # from the end of a call whose exchange cannot say so
-LIST_UPDATE_LIMIT_US = 6 * SECOND  # after discovery had a change and could be reached
-ANSWER_RACE_US = 200 * MILLISECOND  # an answer so near to the death of its exchange may not have arrived
+LOST_AFTER_US = (
+    500 * MILLISECOND
+)  # after the caller's wait; a later final answer counts as lost, an earlier one is late and worth nothing
+CLOSE_RACE_US = 50 * MILLISECOND  # a set-up sent this shortly before its connection closes is repeated by its client
+ACCEPTS_AFTER_SIGTERM_US = 700 * MILLISECOND  # a set-up that comes later is lost only if left unanswered
+RELEASE_LIMIT_US = 1 * SECOND  # from the release of the exchange to the release to the client
+MISSED_END_LIMIT_US = 8 * SECOND  # from the end of a call whose exchange cannot report it
+LIST_UPDATE_LIMIT_US = 6 * SECOND  # from the time at which discovery had a change and was reachable
+ANSWER_RACE_US = 200 * MILLISECOND  # an answer this shortly before the end of the call may not have arrived
 MIN_ANSWERED = 50
-REPORT_DELAY_US = 500 * MILLISECOND  # what an exchange has done so lately may not have been reported at the end
+REPORT_DELAY_US = 500 * MILLISECOND  # events of an exchange this shortly before the end of the trial may be unreported
 FAULT_MARKS = ("Traceback", "fault, call")
 
 
 @dataclass(slots=True, frozen=True)
 class Violation:
-    """One broken rule."""
+    """One violation of a rule, with the time that it concerns."""
 
     rule: str
     at_us: int
@@ -36,7 +39,7 @@
 
 
 def check(record: Record) -> list[Violation]:
-    """All broken rules of a trial, by time."""
+    """Return the violations of all rules in a trial, in order of time."""
     found = [violation for rule in RULES for violation in rule(record)]
     return sorted(found, key=lambda v: v.at_us)
 
@@ -45,38 +48,40 @@
 
 
 def check_answers(record: Record) -> Iterator[Violation]:
-    """Each set-up gets one final answer in time, unless its client gave it up."""
+    """Each set-up gets exactly one final answer in time, unless its client cancelled it."""
     for call in record.calls.values():
         if call.unchecked:
             continue
         if len(call.final_answers) > 1:
             yield Violation("second answer", call.final_answers[1][0], f"{_describe(call)}: {call.final_answers}")
         if call.final_answers:
-            late = call.final_answers[0][0] - call.sent_us - call.wait_us
-            if late > LOST_AFTER_US + _slack_us(record) and not call.gave_up_us:
-                yield Violation("lost", call.final_answers[0][0], f"{_describe(call)}: answered {late // 1000} ms late")
+            late_us = call.final_answers[0][0] - call.sent_us - call.wait_us
+            if late_us > LOST_AFTER_US + _slack_us(record) and not call.gave_up_us:
+                yield Violation(
+                    "lost", call.final_answers[0][0], f"{_describe(call)}: answered {late_us // 1000} ms late"
+                )
         elif not call.gave_up_us and (why := _lost(record, call)):
             yield Violation("lost", call.sent_us, f"{_describe(call)}: {why}")
 
 
 def _lost(record: Record, call: Call) -> str:
-    """Why a set-up without an answer is lost, nothing if it is not."""
+    """Return why a set-up without an answer counts as lost, or an empty text if it does not."""
     process = record.processes[call.process_number - 1]
-    due = call.sent_us + call.wait_us + LOST_AFTER_US + _slack_us(record)
+    due_us = call.sent_us + call.wait_us + LOST_AFTER_US + _slack_us(record)
     if call.closed_us and call.closed_us - call.sent_us <= CLOSE_RACE_US + record.stall_us:
         return ""
     if process.killed_us and not process.terminated_us:
-        return "" if process.killed_us <= due else "no answer before the process was killed"
-    if call.closed_us and call.closed_us < min(due, record.ended_us):
+        return "" if process.killed_us <= due_us else "no answer before the process was killed"
+    if call.closed_us and call.closed_us < min(due_us, record.ended_us):
         ended = process.exited_us and call.closed_us >= process.exited_us - _slack_us(record)
         if call.client == "rude" and not ended:
             return ""
         return f"its connection was closed {(call.closed_us - call.sent_us) // 1000} ms after it, unanswered"
-    return "no answer" if due < record.ended_us and not call.closed_us else ""
+    return "no answer" if due_us < record.ended_us and not call.closed_us else ""
 
 
 def check_descriptions(record: Record) -> Iterator[Violation]:
-    """An answer is what an exchange made for this call."""
+    """The session description of an answer is the one that an exchange sent for this call."""
     answered_calls = {call for _, call in record.standing}
     for call in record.calls.values():
         if call.answered_us and not call.unchecked and call.answered_us < record.ended_us - REPORT_DELAY_US:
@@ -86,11 +91,11 @@
                 or len(fields) < 3
                 or not fields[2].startswith(b"%016x" % call.call_id)
             ):
-                yield Violation("lost", call.answered_us, f"{_describe(call)}: nobody made {call.description!r}")
+                yield Violation("lost", call.answered_us, f"{_describe(call)}: no exchange sent {call.description!r}")
 
 
 def check_unexpected_messages(record: Record) -> Iterator[Violation]:
-    """Nobody is told what cannot be."""
+    """No client receives a message that cannot be valid."""
     for text in record.unexpected_messages:
         yield Violation("lost", record.ended_us, text)
 
@@ -99,33 +104,37 @@
 
 
 def check_ends(record: Record) -> Iterator[Violation]:
-    """What has stood and is over is released towards its client in time."""
+    """An answered call that has ended is released to its client in time."""
     for standing in record.standing.values():
         call = record.calls.get(standing.call_id)
         if call is None or not standing.ended_us or not _must_be_released(call, standing):
             continue
-        due = standing.ended_us + MISSED_END_LIMIT_US
+        due_us = standing.ended_us + MISSED_END_LIMIT_US
         if standing.delivered_us:
-            due = min(due, max(standing.delivered_us, call.answered_us) + RELEASE_LIMIT_US)
-        due += _slack_us(record)
+            due_us = min(due_us, max(standing.delivered_us, call.answered_us) + RELEASE_LIMIT_US)
+        due_us += _slack_us(record)
         process = record.processes[call.process_number - 1]
-        if due >= min(_accountable_until_us(process), record.ended_us):
+        if due_us >= min(_accountable_until_us(process), record.ended_us):
             continue
-        if not call.released_us or call.released_us > due:
-            told = (call.released_us - standing.ended_us) // 1000 if call.released_us else -1
-            text = f"{_describe(call)} at {standing.exchange_id}: told {told} ms after its end (-1: never)"
+        if not call.released_us or call.released_us > due_us:
+            after_ms = (call.released_us - standing.ended_us) // 1000 if call.released_us else -1
+            text = (
+                f"{_describe(call)} at {standing.exchange_id}: client released {after_ms} ms after the end (-1: never)"
+            )
             if standing.released_by_program:
                 text += ", released by the program"
-            text += f"; its exchange told it on {', '.join(standing.end_sent_on) or 'no connection'}"
+            text += f"; its exchange sent the release on {', '.join(standing.end_sent_on) or 'no connection'}"
             if standing.delivered_us:
-                late = (standing.delivered_us - standing.ended_us) // 1000
-                text += f", passed to the program {late} ms after it on link {standing.delivered_on_link}"
-            yield Violation("end not told", due, text)
+                late_ms = (standing.delivered_us - standing.ended_us) // 1000
+                text += f", forwarded to the program {late_ms} ms after the end on link {standing.delivered_on_link}"
+            yield Violation("end not told", due_us, text)
 
 
 def _must_be_released(call: Call, standing: StandingCall) -> bool:
-    """Whether the client still has to hear of the end of a call: not that of an attempt which stood at an exchange
-    unheard, while another exchange's answer is the one that the client has."""
+    """Whether the client must receive the end of a call.
+
+    It need not if the answer of this exchange did not reach the client and another exchange's answer did.
+    """
     if not call.answered_us or call.unchecked or call.gave_up_us or call.ended_by_client_us:
         return False
     answered_there = standing.answered_us <= call.answered_us and standing.description == call.description
@@ -133,7 +142,7 @@
 
 
 def _accountable_until_us(process: Process) -> int:
-    """Until when a process can be held to what it has taken."""
+    """Return the time until which a process must pass on releases: its first SIGTERM, SIGKILL or exit."""
     end_times_us = [t for t in (process.terminated_us, process.killed_us, process.exited_us) if t]
     return min(end_times_us, default=1 << 62)
 
@@ -142,7 +151,7 @@
 
 
 def check_attempts(record: Record) -> Iterator[Violation]:
-    """Never two attempts out, a pause after some, at most so many."""
+    """A call has one outstanding attempt at a time, a pause after an end in PAUSE_AFTER, and limited attempts."""
     by_call: dict[int, list[Attempt]] = defaultdict(list)
     for attempt in record.attempts:
         by_call[attempt.call_id].append(attempt)
@@ -160,19 +169,19 @@
 
 
 def _check_pair(record: Record, call: Call, before: Attempt, after: Attempt) -> Iterator[Violation]:
-    """One attempt after another."""
+    """Check the order of two successive attempts of a call and the pause between them."""
     where = f"{_describe(call)}: exchange {before.exchange_id}, then {after.exchange_id}"
     if not before.end_us or after.sent_us < before.end_us - _slack_us(record):
-        yield Violation("duplicate", after.sent_us, f"{where}: the first is still out")
+        yield Violation("duplicate", after.sent_us, f"{where}: the first is still outstanding")
         return
     assert before.end is not None
-    pause = after.sent_us - before.end_us
-    if before.end in PAUSE_AFTER and pause < record.release_us - _slack_us(record):
-        yield Violation("release", after.sent_us, f"{where}: {pause // 1000} ms after {before.end.value}")
+    pause_us = after.sent_us - before.end_us
+    if before.end in PAUSE_AFTER and pause_us < record.release_us - _slack_us(record):
+        yield Violation("release", after.sent_us, f"{where}: {pause_us // 1000} ms after {before.end.value}")
 
 
 def check_drains(record: Record) -> Iterator[Violation]:
-    """Nothing new goes to an exchange that drains or is gone, some time after that was told."""
+    """No set-up goes to an exchange later than `drain_grace_us` after its drain or removal was announced."""
     announced: dict[int, tuple[int, ListEvent]] = {}
     for event in record.list_events:
         if event.state == "ready":
@@ -184,9 +193,9 @@
     for attempt in record.attempts:
         if attempt.exchange_id not in announced:
             continue
-        at, event = announced[attempt.exchange_id]
-        if attempt.sent_us > at + record.drain_grace_us + _slack_us(record):
-            text = f"call {attempt.call_id:016x} to exchange {attempt.exchange_id}, {event.state} since told at {at}"
+        announced_us, event = announced[attempt.exchange_id]
+        if attempt.sent_us > announced_us + record.drain_grace_us + _slack_us(record):
+            text = f"call {attempt.call_id:016x} to exchange {attempt.exchange_id}, {event.state} since {announced_us}"
             yield Violation("drain", attempt.sent_us, text)
 
 
@@ -194,7 +203,7 @@
 
 
 def check_crashes(record: Record) -> Iterator[Violation]:
-    """The program ends on signals alone, and has no fault of its own."""
+    """The program becomes ready, ends only on signals and logs no fault."""
     for process in record.processes:
         requested = process.terminated_us or process.killed_us
         if process.exited_us and not requested:
@@ -206,19 +215,19 @@
     log = record.processes[-1].log
     for mark in FAULT_MARKS:
         if mark in log:
-            at = log.index(mark)
-            yield Violation("crash", record.ended_us, f"in the log: {log[at : at + 600]!r}")
+            start = log.index(mark)
+            yield Violation("crash", record.ended_us, f"in the log: {log[start : start + 600]!r}")
 
 
 def check_substance(record: Record) -> Iterator[Violation]:
-    """A trial in which next to nothing was answered shows nothing."""
+    """At least MIN_ANSWERED calls were answered; otherwise the trial tests too little."""
     answered = sum(bool(call.answered_us) for call in record.calls.values())
     if answered < MIN_ANSWERED:
         yield Violation("no substance", record.ended_us, f"{answered} calls were answered")
 
 
 def early_cuts(record: Record) -> int:
-    """How many calls the program ended though they went on at their exchange; a cost, no broken rule."""
+    """Count the calls that the program ended while they still stood at their exchange: a cost, not a violation."""
     early = 0
     for standing in record.standing.values():
         call = record.calls.get(standing.call_id)
@@ -228,7 +237,7 @@
 
 
 def slowest_end_ms(record: Record) -> int:
-    """The longest time from the end of a call that its exchange could not tell to its release to the client."""
+    """Return the longest time from an end that the exchange could not report to the release to the client."""
     times = [0]
     for standing in record.standing.values():
         call = record.calls.get(standing.call_id)
@@ -239,7 +248,7 @@
 
 
 def _slack_us(record: Record) -> int:
-    """What is added to each time limit."""
+    """Return the tolerance that is added to each time limit."""
     return TIME_LIMIT_SLACK_US + record.stall_us
 
 
--- a/rig/scenario.py
+++ b/rig/scenario.py
@@ -1,7 +1,10 @@
-"""Scenarios: which faults a trial plays and when, drawn from its seed.
+"""Scenarios: the faults that a trial injects and their times, drawn from the seed of the trial.
 
-Five families are combined: shutdowns in series, discovery outages, bad clients and spoilt answers, cuts and deaths of
-exchanges, and bytes that come slowly or as a connection closes. Each is a list of steps with their times.
+Five families of faults are combined: restarts of the program, outages of discovery, lost or corrupted answers, failures
+of exchanges and of the network to them, and fragmented messages. From seed 101 on, half-open links, broken links in
+accept queues and series of signals can be added. Each family gives a list of steps with their times.
+
+The draws and their order define the trial of a seed; a change to them changes every trial that a seed refers to.
 """
 
 from __future__ import annotations
@@ -20,21 +23,21 @@
 
 TimedStep = tuple[float, Callable[[Trial], Awaitable[None]]]
 WAITS_US = (500 * MILLISECOND, 1200 * MILLISECOND, 3 * SECOND, 6 * SECOND)
-INCIDENT_WAIT_US = 9 * SECOND  # as the deployment of the report has it
-FAULT_PERIOD_S = 12.0  # of the time in which faults begin
-QUIET_PERIOD_S = 10.0  # after it: the longest time that a rule allows, and more
-FURTHER_FAMILIES_FROM_SEED = 101  # the first seed whose trial has the further families
-CROWD_CONNECTIONS = 120  # connections in a trial with a crowd
-CROWD_SHARE = 0.25
-FAMILY_SHARE = 0.7
-NAMED_HANG_S = 3.0  # of an exchange whose connections are reset meanwhile
-NAMED_RESETS_S = (0.5, 1.5, 2.5)  # after it hung
-BREAK_KINDS = ("reset", "close", "forget")  # what becomes of connections
+INCIDENT_WAIT_US = 9 * SECOND  # the wait in the settings of the deployment that had the incident
+FAULT_PERIOD_S = 12.0  # faults begin within this time
+QUIET_PERIOD_S = 10.0  # after the faults; longer than any limit of a rule
+FURTHER_FAMILIES_FROM_SEED = 101  # the first seed whose trial can have further families
+CROWD_CONNECTIONS = 120  # idle connections in a trial with a crowd
+CROWD_SHARE = 0.25  # of trials that have a crowd
+FAMILY_SHARE = 0.7  # of trials that have a given family
+NAMED_HANG_S = 3.0  # in scenario `hung`
+NAMED_RESETS_S = (0.5, 1.5, 2.5)  # resets of links after the start of a hang, in scenario `hung`
+BREAK_KINDS = ("reset", "close", "forget")  # how connections to exchanges end
 
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """One trial as drawn from its seed."""
+    """The plan of one trial."""
 
     seed: int
     longest_wait_us: int
@@ -43,14 +46,14 @@
     crowd: int
     families: tuple[str, ...]
     steps: tuple[TimedStep, ...]
-    absent: int = 0  # further clients, which stop reading now and then
+    absent: int = 0  # additional clients, which stop reading at times
 
     def record(self) -> Record:
-        """An empty record for the trial."""
+        """Return an empty record for the trial."""
         return new_record(self.seed, self.longest_wait_us)
 
     async def play(self, trial: Trial) -> None:
-        """Run each step at its time; ends when all have begun and ended."""
+        """Run each step at its time; return when the fault period is over and all steps have ended."""
         async with trio.open_nursery() as nursery:
             for at_s, step in self.steps:
                 nursery.start_soon(_run_at, at_s, step, trial)
@@ -63,7 +66,7 @@
 
 
 class TrialDraws:
-    """Draws for one seed."""
+    """The random draws of one seed."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(f"soak {seed}")
@@ -71,11 +74,11 @@
         self.unused_exchanges = self.random.sample(range(1, self.exchanges + 1), self.exchanges)
 
     def time_s(self, earliest_s: float = 0.0, latest_s: float = FAULT_PERIOD_S) -> float:
-        """A moment in the trial, in seconds."""
+        """Draw a time in the trial, in seconds from the start of the scenario."""
         return self.random.uniform(earliest_s, latest_s)
 
     def next_exchange(self) -> int:
-        """An exchange that no other fault of the trial touches, while there are any."""
+        """Return an exchange that no fault has used yet; the last one remaining may be returned repeatedly."""
         return self.unused_exchanges.pop() if len(self.unused_exchanges) > 1 else self.unused_exchanges[0]
 
 
@@ -83,7 +86,7 @@
 
 
 def restarts_in_series(draws: TrialDraws) -> list[TimedStep]:
-    """Restarts one after another, by SIGTERM or SIGKILL, some while an exchange hangs."""
+    """Successive restarts of the program, by SIGTERM or SIGKILL, in some trials while an exchange hangs."""
 
     async def series(kinds: list[str], trial: Trial) -> None:
         for kind in kinds:
@@ -99,7 +102,7 @@
 
 
 def discovery_faults(draws: TrialDraws) -> list[TimedStep]:
-    """An outage of discovery, drains close to its return, and new configurations in quick succession."""
+    """An outage of discovery, a drain close to its end, and new configurations in quick succession."""
     kind = draws.random.choice(("refusing", "deaf", "silent"))
     begin_s, seconds = draws.time_s(0.0, 3.0), draws.random.uniform(2.0, 9.5)
     steps: list[TimedStep] = [(begin_s, lambda trial: trial.discovery_outage(kind, seconds))]
@@ -122,7 +125,7 @@
 
 
 def corrupted_answers(draws: TrialDraws) -> list[TimedStep]:
-    """Answers lost, spoilt or sent twice, set-ups refused or failed."""
+    """Answers that are lost, corrupted or sent twice, set-ups that are refused or fail, and resets on set-ups."""
     changes = {
         name: draws.random.uniform(0.0, most)
         for name, most in (
@@ -135,7 +138,7 @@
 
 
 def network_faults(draws: TrialDraws) -> list[TimedStep]:
-    """Exchanges that vanish, die, hang or are cut off, links that are reset or come up late."""
+    """Exchanges that vanish, die, hang or are cut off, links that break or are established late."""
     steps: list[TimedStep] = []
     for _ in range(draws.random.randint(1, 3)):
         number = draws.next_exchange()
@@ -160,7 +163,7 @@
 
 
 def fragmented_messages(draws: TrialDraws) -> list[TimedStep]:
-    """Messages of exchanges in pieces, and connections that are reset again and again."""
+    """Messages of exchanges that arrive in pieces, and repeated breaks of the links to one exchange."""
     share = draws.random.uniform(0.05, 0.5)
     steps: list[TimedStep] = [(0.0, lambda trial: _call_function(partial(trial.change_exchange_options, pieces=share)))]
     number = draws.random.randrange(1, draws.exchanges + 1)
@@ -197,7 +200,7 @@
 
 
 def half_open_links(draws: TrialDraws) -> list[TimedStep]:
-    """Connections to exchanges that are reset towards the program alone, some while the exchange hangs."""
+    """Links that are reset towards the program only, some of them while the exchange hangs."""
     steps: list[TimedStep] = []
     for _ in range(draws.random.randint(1, 4)):
         number, at_s = draws.random.randrange(1, draws.exchanges + 1), draws.time_s()
@@ -208,7 +211,7 @@
 
 
 def queued_connections(draws: TrialDraws) -> list[TimedStep]:
-    """Exchanges that hang while their connections break again and again, those in their queue too."""
+    """Exchanges that hang while links to them break repeatedly, including links in their accept queues."""
     steps: list[TimedStep] = []
     for _ in range(draws.random.randint(1, 3)):
         number, at_s, seconds = (
@@ -225,7 +228,7 @@
 
 
 def signal_series(draws: TrialDraws) -> list[TimedStep]:
-    """Restarts with signals in series behind each SIGTERM."""
+    """Restarts with a series of further signals after each SIGTERM."""
 
     async def series(signal_lists: list[list[tuple[float, signal.Signals]]], trial: Trial) -> None:
         for following_signals in signal_lists:
@@ -257,7 +260,7 @@
 
 
 def plan(seed: int) -> Plan:
-    """The trial of a seed: at least two families, mostly more; from a seed on, further ones are joined to them."""
+    """Return the trial of a seed: at least two families, and further families from FURTHER_FAMILIES_FROM_SEED on."""
     base_plan = _plan(seed)
     if seed < FURTHER_FAMILIES_FROM_SEED:
         return base_plan
@@ -265,7 +268,7 @@
     draws.random = random.Random(f"soak further {seed}")
     names = [name for name in FURTHER_FAMILIES if draws.random.random() < FAMILY_SHARE]
     if "shutdowns" in base_plan.families and "signals" in names:
-        names.remove("signals")  # one series of restarts at a time
+        names.remove("signals")  # two overlapping series of restarts would interfere
     steps = tuple(step for name in names for step in FURTHER_FAMILIES[name](draws))
     absent = draws.random.randint(0, 2)
     return replace(base_plan, families=(*base_plan.families, *names), steps=(*base_plan.steps, *steps), absent=absent)
@@ -284,7 +287,7 @@
 
 
 def silent_exchanges() -> Plan:
-    """The incident of 2026-12-02: two exchanges vanish with calls on them, and discovery is deaf meanwhile."""
+    """The incident of 2026-12-02: two exchanges vanish with calls on them while discovery does not reply."""
     steps: tuple[TimedStep, ...] = (
         (2.0, lambda trial: trial.discovery_outage("deaf", 9.5)),
         (2.5, lambda trial: trial.vanish(1, 9.0, 9.2, False)),
@@ -294,7 +297,7 @@
 
 
 def hung_exchanges() -> Plan:
-    """Exchanges hang in turn and their connections are reset meanwhile, those in the queue too (seed 24)."""
+    """Exchanges hang in turn while links to them are reset, also those in their accept queues (as in seed 24)."""
     steps: list[TimedStep] = []
     for number in (1, 2, 3):
         for begin_s in (0.5 + number, 7.5 + number):
--- a/rig/site.py
+++ b/rig/site.py
@@ -1,4 +1,4 @@
-"""One exchange of a trial: its process, its proxy and what both say of its calls."""
+"""One exchange of a trial: its process, its proxy, and its reports of calls, which go into the record."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Site:
-    """One exchange, under the id and at the address that discovery has."""
+    """One exchange with the id and the address that discovery publishes; a replacement is another site."""
 
     def __init__(self, exchange_id: int, number: int, port: int, options: ExchangeOptions, record: Record) -> None:
         self.exchange_id = exchange_id
@@ -36,7 +36,7 @@
 
     @property
     def endpoint(self) -> Endpoint:
-        """The exchange as discovery has it while it is ready."""
+        """The entry of the exchange in the list while it is ready."""
         return Endpoint(self.exchange_id, self.exchange_number, self.proxy.host, self.proxy.port)
 
     def start(self) -> None:
@@ -53,7 +53,7 @@
         )  # fmt: skip
 
     async def read_reports(self) -> None:
-        """Read what the exchange reports until its process ends."""
+        """Read the reports of the exchange until its process ends."""
         assert self.process is not None and self.process.stdout is not None
         output: IO[str] = self.process.stdout
         while line := await trio.to_thread.run_sync(output.readline, abandon_on_cancel=True):
@@ -70,7 +70,7 @@
                     await trio.sleep(0.02)
 
     def handle_report(self, report: dict[str, object]) -> None:
-        """One event of the exchange."""
+        """Enter one reported event in the record."""
         at, event, call = int(str(report["at"])), report["event"], int(str(report["call"]))
         key = (self.exchange_id, call)
         if event == "told" and key in self.record.standing:
@@ -84,22 +84,22 @@
             standing.released_by_program = event == "released"
 
     def change_options(self, options: ExchangeOptions) -> None:
-        """Have the exchange act otherwise from now on."""
+        """Send new options to the exchange."""
         self.options = options
         if self.process is not None and self.process.stdin is not None and self.process.poll() is None:
             self.process.stdin.write(json.dumps(asdict(options)) + "\n")
             self.process.stdin.flush()
 
-    def pause(self) -> None:
-        """SIGSTOP: the process hangs, and its connections stay open."""
+    def pause_process(self) -> None:
+        """Send SIGSTOP: the process hangs, and its connections stay open."""
         self._send_signal(signal.SIGSTOP)
 
-    def resume(self) -> None:
-        """SIGCONT."""
+    def resume_process(self) -> None:
+        """Send SIGCONT: the process runs again."""
         self._send_signal(signal.SIGCONT)
 
     def kill(self) -> None:
-        """SIGKILL: all that stands is over."""
+        """Send SIGKILL and record the end of all calls that stood at the exchange."""
         self.killed = True
         self._send_signal(signal.SIGKILL)
         now = now_us()
@@ -112,7 +112,7 @@
             self.process.send_signal(number)
 
     def close(self) -> None:
-        """End the process."""
+        """End the process and close its pipes."""
         if self.process is not None:
             self.process.kill()
             self.process.wait()
--- a/rig/soak.py
+++ b/rig/soak.py
@@ -1,6 +1,6 @@
 """Run trials by seed: `python -m rig.soak 1-50 --jobs 3`. Exit code 1 if a rule was broken.
 
-Each trial is a process of its own. One that breaks a rule leaves its log and its faults under `found/`.
+Each trial runs in a process of its own. A trial that breaks a rule leaves its log and its report under `found/`.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 def run_trial(plan: scenario.Plan) -> tuple[Record, list[rules.Violation]]:
-    """Play one plan in this process."""
+    """Play one plan in this process and check the rules on its record."""
     record = plan.record()
     trial = Trial(record, plan.exchanges, plan.clients, plan.crowd, plan.absent)
     trio.run(trial.run, plan.play, scenario.QUIET_PERIOD_S)
@@ -34,7 +34,7 @@
 def summary(
     plan: scenario.Plan, record: Record, violations: list[rules.Violation], passed_over: list[rules.Violation]
 ) -> dict[str, object]:
-    """What one trial has to report, as plain values."""
+    """Return the report of one trial as values for JSON."""
     calls = [call for call in record.calls.values() if not call.unchecked]
     return {
         "seed": plan.seed,
@@ -59,7 +59,7 @@
 
 
 def play_one(name: str) -> int:
-    """Play the trial of a seed, or a named one; one line of JSON tells what came of it."""
+    """Play the trial of a seed, or a named one, print its report as one line of JSON and return the exit code."""
     plan = scenario.NAMED_PLANS[name]() if name in scenario.NAMED_PLANS else scenario.plan(int(name))
     record, broken = run_trial(plan)
     violations, passed_over = known_red.split_known(name, broken, known_red.read())
@@ -73,7 +73,7 @@
 
 
 def play_in_process(name: str) -> dict[str, object]:
-    """Play a trial in a process of its own; one that fails to report is a violation."""
+    """Play a trial in a process of its own and return its report; a trial without a report counts as a violation."""
     command = [sys.executable, "-m", "rig.soak", "--one", name]
     try:
         result = subprocess.run(command, capture_output=True, text=True, timeout=TRIAL_TIMEOUT_S, cwd=ROOT)
@@ -85,7 +85,7 @@
 
 
 def expand_seeds(arguments: list[str]) -> list[str]:
-    """Seeds as written on the command line: numbers, spans like 1-50, or the incident."""
+    """Expand the seeds of the command line: numbers, ranges like 1-50, and names of scenarios."""
     names: list[str] = []
     for argument in arguments:
         first, dash, last = argument.partition("-")
@@ -94,7 +94,7 @@
 
 
 def print_report(report: dict[str, object]) -> None:
-    """One trial on the screen."""
+    """Print the figures of one trial, and its faults and violations if a rule was broken."""
     keys = (
         "seed", "families", "wait_ms", "crowd", "calls", "answered", "ended", "processes", "early_cuts",
         "slowest_end_ms",
@@ -109,7 +109,7 @@
 
 
 def main() -> int:
-    """The command line."""
+    """Run the trials of the command line and return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("seeds", nargs="*", default=["1-50"], help="numbers, spans like 1-50, incident, hung")
     parser.add_argument("--jobs", type=int, default=3, help="trials at a time, each with some eight processes")
--- a/rig/sockets.py
+++ b/rig/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets of the rig: listeners that can turn deaf, and closes that reset."""
+"""Sockets of the rig: a listener that can stop answering connects, and closing a connection with a reset."""
 
 from __future__ import annotations
 
@@ -12,30 +12,32 @@
 
 BACKLOG = 128
 HOSTS_PER_SUBNET = 250
-FIRST_PORT = 20_000  # below those that the system gives to connects
-_port_candidates = itertools.count(FIRST_PORT + os.getpid() * 16 % 10_000)  # the same trial may run twice at once
-QUEUE_FILLERS = 3  # connections that fill a queue of length 0; the system lets one or two more in than it says
-LINGER_ZERO = struct.pack("ii", 1, 0)  # SO_LINGER: on, 0 s
+FIRST_PORT = 20_000  # below the ephemeral ports that the system assigns to outgoing connections
+_port_candidates = itertools.count(
+    FIRST_PORT + os.getpid() * 16 % 10_000
+)  # differs by process: one trial may run twice at a time
+QUEUE_FILLERS = 3  # connections that fill a backlog of 0; the system accepts one or two more than the backlog
+LINGER_ZERO = struct.pack("ii", 1, 0)  # SO_LINGER on, 0 s: close() sends a reset
 
 
 def loopback_address(seed: int) -> str:
-    """An address of the loopback for the trial of a seed alone, so that trials side by side share no port."""
+    """Return a loopback address used by the trial of this seed only, so that parallel trials share no port."""
     return f"127.1.{seed // HOSTS_PER_SUBNET % HOSTS_PER_SUBNET}.{1 + seed % HOSTS_PER_SUBNET}"
 
 
 def free_port(host: str) -> int:
-    """A port of an address that nothing listens at, and that no other call in this process has given."""
+    """Return a port on which nothing listens and which no other call in this process has returned."""
     while True:
         port = next(_port_candidates)
         try:
             with socket.create_server((host, port)):
                 return port
         except OSError:
-            continue  # somebody else's
+            continue  # in use by another process
 
 
 def close_with_reset(sock: trio.socket.SocketType) -> None:
-    """Close a connection so that its peer sees a reset."""
+    """Close a connection so that its peer receives a reset."""
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
     sock.close()
@@ -49,10 +51,10 @@
 
 
 class SuspendableListener:
-    """A listener that can stop hearing: its queue is filled, so that further connects get no answer at all.
+    """A listener that can stop answering connects: its accept queue is filled, so that further connects get no reply.
 
-    The system drops the first packet of a connect to a full queue; the peer repeats it after 1 s and 3 s, so a connect
-    to a listener that hears again comes up late.
+    The system drops the SYN of a connect to a full queue. The peer repeats it after 1 s and 3 s, so a connect begun
+    while the listener is suspended is established late.
     """
 
     def __init__(self, host: str, port: int) -> None:
@@ -64,11 +66,11 @@
 
     @property
     def is_closed(self) -> bool:
-        """Whether nothing listens."""
+        """Whether the address has no listening socket, so that connects are refused."""
         return self._listener is None
 
     async def open(self) -> None:
-        """Listen; connections are accepted by `accept`."""
+        """Start to listen; `accept` returns the connections."""
         sock = trio.socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         await sock.bind(self.address)
@@ -77,7 +79,7 @@
         self._accepting.set()
 
     def close(self) -> None:
-        """Listen no more: connects are refused."""
+        """Stop listening: connects are refused."""
         self._close_fillers()
         if self._listener is not None:
             self._listener.close()
@@ -85,7 +87,7 @@
         self._accepting = trio.Event()
 
     def suspend(self) -> None:
-        """Answer no connect from now on."""
+        """Leave all further connects without a reply."""
         if self._listener is None or not self._accepting.is_set():
             return
         self._accepting = trio.Event()
@@ -111,20 +113,20 @@
         self._fillers.clear()
 
     async def accept(self) -> trio.socket.SocketType:
-        """The next connection of a peer, not of a filler."""
+        """Return the next connection of a peer, skipping those that fill the queue."""
         while True:
             await self._accepting.wait()
             listener = self._listener
             if listener is None:
                 continue
             try:
-                # What waits in the queue of a deaf listener stays there, so that it stays full.
+                # Connections in the queue of a suspended listener are not accepted, so that the queue stays full.
                 await trio.lowlevel.wait_readable(listener)
                 if not self._accepting.is_set():
                     continue
                 sock, (_, port) = await listener.accept()
             except (OSError, trio.ClosedResourceError):
-                await trio.sleep(0.001)  # closed meanwhile
+                await trio.sleep(0.001)  # the listener was closed while this task waited
                 continue
             if port in self._filler_ports:
                 self._filler_ports.discard(port)
--- a/rig/trial.py
+++ b/rig/trial.py
@@ -1,4 +1,4 @@
-"""One trial: the program among its stand-ins, a scenario played in time, and the record of what was seen."""
+"""One trial: the program with simulated exchanges, discovery and clients, and the faults of a scenario."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 from .site import Site
 from .sockets import free_port, loopback_address
 
-EXCHANGE_ID_BASE = 101
-CONNECTS_AFTER_SIGTERM_S = 0.3  # after SIGTERM
-TRACE_INTERVAL_S = 2.0
+EXCHANGE_ID_BASE = 101  # the exchange with number n has the id EXCHANGE_ID_BASE + n; replacements follow from 202 on
+CONNECTS_AFTER_SIGTERM_S = 0.3  # clients still open new connections for this time
+TRACE_INTERVAL_S = 2.0  # between SIGUSR1, which prints the trace
 STALL_PROBE_S = 0.01
-SETTLE_S = 1.0  # between readiness and the first fault
+SETTLE_S = 1.0  # between readiness and the first possible fault
 
 
 class Trial:
-    """The processes and sockets of one trial; the methods below `faults` are the words of scenarios."""
+    """The processes and sockets of one trial; scenarios are composed of the methods in the `faults` sections."""
 
     def __init__(self, record: Record, exchanges: int, clients: int, crowd: int, absent: int = 0) -> None:
         self.record = record
@@ -52,10 +52,10 @@
         ]
         self.nursery: trio.Nursery
 
-    # --- the course of a trial ---
+    # --- life cycle of a trial ---
 
     async def run(self, scenario: Callable[[Trial], Awaitable[None]], quiet_s: float) -> None:
-        """Start all, play the scenario, let some time pass, end all."""
+        """Start everything, play the scenario, wait for the quiet period, end everything."""
         try:
             async with trio.open_nursery() as self.nursery:
                 self.nursery.start_soon(self.discovery.run)
@@ -84,14 +84,14 @@
             self.program.close()
 
     async def start_site(self, site: Site) -> None:
-        """Start an exchange, and its proxy."""
+        """Start an exchange and its proxy."""
         site.start()
         self.nursery.start_soon(site.read_reports)
         await site.wait_listening()
         self.nursery.start_soon(site.proxy.run)
 
     async def start_program(self) -> None:
-        """Start a process of the program and wait until it passes a test."""
+        """Start a process of the program and wait until it passes a health check."""
         self.discovery.begin_process()
         self.program.write_config(self.discovery.known_events())
         self.program.start()
@@ -104,7 +104,7 @@
             self.program.current_process.ready_us = now_us()
 
     async def passes_health_check(self) -> bool:
-        """Whether the program passes the front's test."""
+        """Whether the program passes the health check of the load balancer in front of it."""
         with contextlib.suppress(OSError), trio.socket.socket() as sock:
             await sock.connect(self.program.address)
             await sock.send(p.encode(p.HealthCheck(1)))
@@ -114,14 +114,14 @@
         return False
 
     async def request_traces(self) -> None:
-        """Have the program print its trace so often that none of it is lost."""
+        """Make the program print its trace, often enough that no entry is lost."""
         while True:
             await trio.sleep(TRACE_INTERVAL_S)
             if self.program.current_process.ready_us:
                 self.program.send_signal(signal.SIGUSR1)
 
     async def measure_stalls(self) -> None:
-        """Measure by how much this process is late: on a busy machine its times are off by as much."""
+        """Measure the delay of this event loop: on a busy machine the recorded times are off by as much."""
         while True:
             before = now_us()
             await trio.sleep(STALL_PROBE_S)
@@ -129,7 +129,7 @@
             self.record.stall_us = max(self.record.stall_us, late)
 
     async def hold_idle_connection(self) -> None:
-        """One connection of a crowd: idle, or half written."""
+        """Hold one connection of a crowd, which has sent the first byte of a message and then stays idle."""
         while True:
             await trio.sleep(0.2)
             with contextlib.suppress(OSError), trio.socket.socket() as sock:
@@ -138,15 +138,16 @@
                 await sock.recv(1)
 
     def record_fault(self, text: str) -> None:
-        """Enter a fault in the record."""
+        """Enter the start or end of a fault in the record."""
         self.record.faults.append((now_us(), text))
 
     # --- faults: the program ---
 
     async def restart(self, further: Sequence[tuple[float, signal.Signals]] = ()) -> None:
-        """SIGTERM; clients use open connections until the process is no more; then a new process at once.
+        """Send SIGTERM and start a new process once the old one has ended.
 
-        Further signals follow, each some seconds after the one before.
+        Until then clients use the connections that they have. The signals in `further` follow, each the given number of
+        seconds after the one before.
         """
         self.record_fault(f"SIGTERM {' '.join(number.name for _, number in further)}".strip())
         self.nursery.start_soon(self._stop_new_connections)
@@ -171,18 +172,18 @@
             client.may_connect = process is not self.program.current_process or not process.terminated_us
 
     async def crash(self) -> None:
-        """SIGKILL without a word, and a new process at once."""
+        """Send SIGKILL without SIGTERM before it, and start a new process at once."""
         self.record_fault("SIGKILL")
         await self.program.kill()
         self.record_fault("start")
         await self.start_program()
 
     async def reconfigure(self, times: int, pause_s: float, shorter: bool) -> None:
-        """New configurations in quick succession, one of them broken."""
+        """Write new configurations in quick succession, every fourth one invalid, with a SIGHUP after each."""
         longest = self.record.longest_wait_us
         for k in range(times):
             self.record_fault("SIGHUP")
-            if k % 4 == 3 and self.program.current_process.ready_us:  # a process that starts is given a good one
+            if k % 4 == 3 and self.program.current_process.ready_us:  # a starting process gets a valid one
                 self.program.config_path.write_text("{")
             else:
                 if shorter:
@@ -197,7 +198,7 @@
     # --- faults: discovery ---
 
     async def discovery_outage(self, kind: str, seconds: float) -> None:
-        """Discovery refuses, is deaf or silent for a time."""
+        """Have discovery refuse connects, leave connects without a reply, or send nothing, for a time."""
         self.record_fault(f"discovery {kind} for {seconds:.1f} s")
         if kind == "silent":
             self.discovery.stop_responding()
@@ -210,7 +211,7 @@
     # --- faults: exchanges and the network to them ---
 
     async def partition(self, number: int, seconds: float) -> None:
-        """The network to an exchange is cut for a time."""
+        """Cut the network to an exchange for a time."""
         site = self.sites[number]
         self.record_fault(f"network to {site.exchange_id} cut for {seconds:.1f} s")
         site.proxy.cut_network()
@@ -220,16 +221,16 @@
             self.record_fault(f"network to {site.exchange_id} back")
 
     async def hang(self, number: int, seconds: float) -> None:
-        """An exchange hangs for a time."""
+        """Let an exchange hang for a time."""
         site = self.sites[number]
         self.record_fault(f"{site.exchange_id} hangs for {seconds:.1f} s")
-        site.pause()
+        site.pause_process()
         await trio.sleep(seconds)
-        site.resume()
-        self.record_fault(f"{site.exchange_id} goes on")
+        site.resume_process()
+        self.record_fault(f"{site.exchange_id} resumes")
 
     async def vanish(self, number: int, gone_after_s: float, replaced_after_s: float, same_address: bool) -> None:
-        """A machine vanishes; discovery hears of it later, and another takes its place."""
+        """Let the host of an exchange vanish; discovery publishes this later, and another exchange replaces it."""
         site = self.sites[number]
         if site.killed:
             return
@@ -239,7 +240,7 @@
         await self._replace(site, gone_after_s, replaced_after_s, same_address)
 
     async def die(self, number: int, gone_after_s: float, replaced_after_s: float, same_address: bool) -> None:
-        """The process of an exchange dies: resets, refusals; another takes its place."""
+        """Kill an exchange: its connections are reset and connects refused, until another exchange replaces it."""
         site = self.sites[number]
         if site.killed:
             return
@@ -258,7 +259,7 @@
     async def _publish_gone(self, old: Site, after_s: float) -> None:
         await trio.sleep(after_s)
         self.discovery.set_state(old.exchange_id, "gone")
-        self.record_fault(f"discovery has {old.exchange_id} gone")
+        self.record_fault(f"discovery lists {old.exchange_id} as gone")
 
     async def _start_replacement(self, old: Site, same_address: bool) -> None:
         self.last_replacement_id += 1
@@ -284,7 +285,7 @@
         )
 
     async def drain(self, number: int, gone_after_s: float, same_address: bool) -> None:
-        """An exchange drains, then is replaced."""
+        """Drain an exchange, then replace it."""
         site = self.sites[number]
         self.record_fault(f"{site.exchange_id} drains")
         self.discovery.set_state(site.exchange_id, "draining")
@@ -292,16 +293,16 @@
         await self.die(number, 0.0, 0.3, same_address)
 
     async def delay_connects(self, number: int, seconds: float) -> None:
-        """Connects to an exchange come up late, by the network's repeats."""
+        """Delay connects to an exchange: they get no reply for a time and are established by a repeated SYN."""
         site = self.sites[number]
-        self.record_fault(f"connects to {site.exchange_id} late for {seconds:.1f} s")
+        self.record_fault(f"connects to {site.exchange_id} delayed for {seconds:.1f} s")
         site.proxy.listener.suspend()
         await trio.sleep(seconds)
         if site is self.sites[number]:
             site.proxy.listener.resume()
 
     def break_links(self, number: int, share: float, break_kind: str) -> None:
-        """Some connections to an exchange are reset, closed or forgotten."""
+        """Break some connections to an exchange in one of the ways of `scenario.BREAK_KINDS`, or by `halve`."""
         self.record_fault(f"{share:.0%} of the links to {self.sites[number].exchange_id}: {break_kind}")
         proxy = self.sites[number].proxy
         if break_kind == "forget":
@@ -312,7 +313,7 @@
             proxy.close_some(share, abort=break_kind == "reset")
 
     def change_exchange_options(self, **changes: float) -> None:
-        """Have the exchanges act otherwise from now on."""
+        """Change the options of all exchanges, present and future."""
         self.record_fault(f"exchanges: {changes}")
         self.options = replace(self.options, **changes)  # type: ignore[arg-type]
         for site in self.sites.values():
@@ -320,5 +321,5 @@
 
 
 def new_record(seed: int, longest_wait_us: int) -> Record:
-    """An empty record with the figures of the rules."""
+    """Return an empty record with the limits that the rules use."""
     return Record(seed, longest_wait_us, 4, 300_000, 2 * SECOND)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Known failures: a test named in KNOWN-RED.txt may fail as its entry says, and in no other way."""
+"""Pytest hooks for known failures: a test listed in KNOWN-RED.txt may fail only with the failure of its entry."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def _entries() -> dict[str, known_red.KnownFailure]:
-    """The entries by test; UsageError if the list is not as it should be."""
+    """Return the entries by test; raises UsageError if the list is malformed."""
     try:
         return {entry.test: entry for entry in known_red.read()}
     except known_red.InvalidListError as error:
@@ -18,7 +18,7 @@
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """A name that no collected file has is an error of the list."""
+    """Reject entries for a collected file whose test does not exist."""
     names = {item.nodeid for item in items}
     files = {name.partition("::")[0] for name in names}
     if config.option.keyword or "::" in "".join(config.args):
@@ -32,7 +32,7 @@
 def pytest_runtest_makereport(
     item: pytest.Item, call: pytest.CallInfo[None]
 ) -> Generator[None, pytest.TestReport, pytest.TestReport]:
-    """Pass over the one failure that an entry names."""
+    """Report the failure of an entry as an expected failure."""
     report = yield
     entry = _entries().get(item.nodeid)
     if entry is not None and report.failed and call.excinfo is not None and entry.failure in str(call.excinfo.value):
@@ -42,7 +42,7 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print the known failures of tests, what came of each, and how many were passed over."""
+    """Print each known failure of a test with its outcome, and how many were passed over."""
     reports = terminalreporter.stats
     tests = {test: entry for test, entry in _entries().items() if not test.startswith(known_red.TRIAL_PREFIX)}
     outcomes = {test: "not run" for test in tests}
--- a/tests/test_incidents.py
+++ b/tests/test_incidents.py
@@ -1,4 +1,4 @@
-"""Reproductions of incidents, on real processes over loopback (docs/incidents/)."""
+"""Reproductions of the incidents in docs/incidents/, with real processes over loopback."""
 
 from __future__ import annotations
 
@@ -11,6 +11,6 @@
     def test_2026_12_02_calls_on_vanished_exchanges_end_in_time_while_discovery_is_down(self) -> None:
         record, violations = soak.run_trial(scenario.silent_exchanges())
         lost = [s for s in record.standing.values() if s.ended_us and not s.delivered_us and not s.released_by_program]
-        self.assertGreater(len(lost), 5)  # calls stood there as the exchanges vanished
+        self.assertGreater(len(lost), 5)  # calls stood at the exchanges when these vanished
         violations, _ = known_red.split_known("incident", violations, known_red.read())
         self.assertEqual([f"{v.rule}: {v.text}" for v in violations], [])
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures passes over what its entries name, and nothing else."""
+"""KNOWN-RED.txt: only failures that match an entry are passed over, and malformed lists are rejected."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Trials(unittest.TestCase):
-    def test_another_rule_another_text_or_another_seed_counts(self) -> None:
+    def test_failure_with_another_rule_text_or_seed_counts(self) -> None:
         named = Violation("end not told", 1, "call 5 at 102: told -1 ms after its end")
         others = [Violation("drain", 1, "call 5 at 102"), Violation("end not told", 1, "call 6 at 103")]
         self.assertEqual(known_red.split_known("7", [named, *others], [ENTRY]), (others, [named]))
@@ -53,16 +53,16 @@
             command, cwd=self.folder, env={"PYTHONPATH": str(ROOT)}, capture_output=True, text=True, timeout=60
         )
 
-    def test_only_the_failure_that_an_entry_names_is_passed_over(self) -> None:
-        done = self.run_with("test_listed", "test_listed_but_otherwise")
-        self.assertIn("2 failed, 1 xfailed", done.stdout)
-        self.assertIn("known failures passed over by tests: 1", done.stdout)
-        self.assertNotEqual(done.returncode, 0)
+    def test_only_the_failure_named_by_an_entry_is_passed_over(self) -> None:
+        result = self.run_with("test_listed", "test_listed_but_otherwise")
+        self.assertIn("2 failed, 1 xfailed", result.stdout)
+        self.assertIn("known failures passed over by tests: 1", result.stdout)
+        self.assertNotEqual(result.returncode, 0)
 
-    def test_a_name_that_no_test_has_is_an_error(self) -> None:
+    def test_entry_for_an_unknown_test_is_an_error(self) -> None:
         self.assertNotEqual(self.run_with("test_that_is_not_there").returncode, 0)
 
-    def test_lists_that_are_not_as_they_should_be(self) -> None:
+    def test_malformed_lists_are_rejected(self) -> None:
         path = self.folder / "list"
         line = "a | b | c | d\n"
         for text in ("a | b | c\n", "a | b | | d\n", line * (known_red.MAX_ENTRIES + 1)):
