--- a/rig/client.py
+++ b/rig/client.py
@@ -23,13 +23,17 @@
 RECEIVE_BYTES = 64 * 1024
 RECONNECT_PAUSE_S = 0.05
 HALF_CLOSE_POLL_S = 0.001
-PIECE_PAUSE_S = (0.01, 1.2)
-ABSENCE_S = (1.0, 4.0)
+PIECE_PAUSE_S = (0.01, 1.2)  # shortest and longest pause between two pieces of a message
+ABSENCE_S = (1.0, 4.0)  # shortest and longest time without reading
 
 
 @dataclass(slots=True, frozen=True)
 class ClientProfile:
-    """How a client behaves. Shares are between 0 and 1; each is the share of the events named in its comment."""
+    """How a client behaves.
+
+    The client acts in turns at random times, with a mean rate of `set_ups_per_s`. Shares are between 0 and 1; each is
+    the share of the events named in its comment.
+    """
 
     name: str
     set_ups_per_s: float
@@ -77,7 +81,7 @@
         self.process_number = 0  # number of the program's process that accepted the connection
         self.sent_garbage = False  # whether the client has sent undecodable bytes on the present connection
         self.unanswered: dict[int, Call] = {}  # set-ups on the present connection without a final answer, by call id
-        self.may_connect = True
+        self.may_connect = True  # false while the program shuts down
         self.outbox: deque[tuple[bytes, Call | None]] = deque()
         self.writer_wakeup = trio.Event()
         self.reading_allowed = trio.Event()  # set while the client reads
--- a/rig/discovery.py
+++ b/rig/discovery.py
@@ -15,7 +15,7 @@
 from .sockets import SuspendableListener, close_with_reset, loopback_address, send_all
 
 HEARTBEAT_S = 1.0
-HEARTBEAT_FRAME = bytes(4)
+HEARTBEAT_FRAME = bytes(4)  # a frame without content
 STATE_CODES = {"ready": 0, "draining": 1, "gone": 2}
 
 
@@ -95,10 +95,14 @@
     def record_events(self) -> None:
         """Enter the events so far in the record and clear them."""
         for event in self.events:
-            reachable = max(event.published_us, self.reachable_us) if self.reachable_us else 0
+            reachable_us = max(event.published_us, self.reachable_us) if self.reachable_us else 0
             self.record.list_events.append(
                 ListEvent(
-                    event.endpoint.exchange_id, event.endpoint.state, event.published_us, reachable, event.delivered_us
+                    event.endpoint.exchange_id,
+                    event.endpoint.state,
+                    event.published_us,
+                    reachable_us,
+                    event.delivered_us,
                 )
             )
         self.events = []
--- a/rig/exchange.py
+++ b/rig/exchange.py
@@ -93,10 +93,13 @@
                 sock, _ = await listener.accept()
                 self.nursery.start_soon(self.serve, sock)
 
-    def report(self, event: str, call: int = 0, port: int = 0) -> None:
-        """Report an event to the trial. The port is the exchange's own for "answered", and the peer's port of the
-        connection on which the release was sent for "told"."""
-        sys.stdout.write(json.dumps({"at": now_us(), "event": event, "call": call, "port": port}) + "\n")
+    def report(self, event: str, call_id: int = 0, port: int = 0) -> None:
+        """Report an event to the trial.
+
+        For "answered" the port is the exchange's own. For "told", which reports that the release of an ended call was
+        sent, it is the peer's port of the connection.
+        """
+        sys.stdout.write(json.dumps({"at": now_us(), "event": event, "call": call_id, "port": port}) + "\n")
         sys.stdout.flush()
 
     async def read_options(self) -> None:
@@ -129,8 +132,8 @@
         connection = Connection(sock, self.accepted, peer_port(sock), deque(), trio.Event())
         self.connections.append(connection)
         self.send(connection, p.encode(self.group_state()))
-        for call, data in self.pending_releases.items():
-            self.send_end(connection, call, data)
+        for call_id, data in self.pending_releases.items():
+            self.send_end(connection, call_id, data)
         self.pending_releases.clear()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.write, connection)
@@ -279,9 +282,9 @@
             self.send_end(connection, call.call_id, data)
         self.pending_releases[call.call_id] = data
 
-    def send_end(self, connection: Connection, call: int, data: bytes) -> None:
+    def send_end(self, connection: Connection, call_id: int, data: bytes) -> None:
         """Send the release of an ended call on a connection, whether or not its peer still reads."""
-        self.report("told", call, connection.peer_port)
+        self.report("told", call_id, connection.peer_port)
         self.send(connection, data)
 
 
@@ -293,9 +296,9 @@
         return 0
 
 
-def answer_description(port: int, call: int) -> bytes:
+def answer_description(port: int, call_id: int) -> bytes:
     """Return the session description in the answer to a call; it differs for every exchange and every call."""
-    return b"v=0 %d %016x\xff" % (port, call)
+    return b"v=0 %d %016x\xff" % (port, call_id)
 
 
 def main() -> None:
--- a/rig/program.py
+++ b/rig/program.py
@@ -21,8 +21,8 @@
 ROOT = Path(__file__).parent.parent
 CLASS_NAMES = ("premium quote", "renewal quote")
 TENANT = "acme"
-MAX_WAIT_BEFORE_KILL_US = 3 * SECOND  # the longest wait counts up to this towards the time before SIGKILL
-KILL_MARGIN_US = 700 * MILLISECOND  # on top of the wait
+MAX_WAIT_BEFORE_KILL_US = 3 * SECOND  # a longer wait of callers does not delay SIGKILL further
+KILL_MARGIN_US = 700 * MILLISECOND  # between the end of the wait and SIGKILL
 READY_TIMEOUT_S = 10.0
 
 
@@ -77,7 +77,7 @@
         self.log_path = Path(self.directory.name) / "log"
 
     @property
-    def current_process(self) -> Process:
+    def process_record(self) -> Process:
         """The record of the process that was started last."""
         return self.record.processes[-1]
 
@@ -114,7 +114,7 @@
 
     async def wait_for_exit(self) -> None:
         """Wait until the process has ended, and record the time and the exit code."""
-        process, entry = self.process, self.current_process
+        process, entry = self.process, self.process_record
         assert process is not None
         while process.poll() is None:
             await trio.sleep(0.002)
@@ -124,7 +124,7 @@
 
     async def terminate(self) -> None:
         """Send SIGTERM, then SIGKILL after `kill_after_us` if the process is still running."""
-        entry = self.current_process
+        entry = self.process_record
         entry.terminated_us = now_us()
         self.send_signal(signal.SIGTERM)
         with trio.move_on_after(self.kill_after_us / SECOND):
@@ -134,7 +134,7 @@
 
     async def kill(self) -> None:
         """Send SIGKILL and wait until the process has ended."""
-        self.current_process.killed_us = now_us()
+        self.process_record.killed_us = now_us()
         self.send_signal(signal.SIGKILL)
         await self.wait_for_exit()
 
@@ -144,5 +144,5 @@
             self.process.kill()
             self.process.wait()
         if self.record.processes:
-            self.current_process.log = self.log_path.read_text(errors="replace")
+            self.process_record.log = self.log_path.read_text(errors="replace")
         self.directory.cleanup()
--- a/rig/proxy.py
+++ b/rig/proxy.py
@@ -196,19 +196,19 @@
         """Forward the bytes of the exchange to the program and record the messages in them."""
         assert link.exchange_sock is not None
         decoder = p.message_decoder()
-        readable, abort = True, False
+        decodable, abort = True, False
         try:
             while data := await link.exchange_sock.recv(RECEIVE_BYTES):
                 await self.wait_for_network(link)
                 if link.half_open:
                     continue
                 await send_all(link.program_sock, data)
-                if readable:
+                if decodable:
                     try:
                         for message in decoder.feed(data):
                             self.record_to_program(link, message)
                     except p.ProtocolError:
-                        readable = False  # a corrupted answer: the rest cannot be decoded either
+                        decodable = False  # a corrupted answer: the rest cannot be decoded either
         except (OSError, trio.ClosedResourceError):
             abort = True
         if link.blackholed:
@@ -251,8 +251,8 @@
         return f"link {link.number} ({state}, accepted at {link.accepted_us / SECOND:.3f})"
 
     @staticmethod
-    def end_attempt(link: Link, call: int, end: AttemptEnd) -> None:
+    def end_attempt(link: Link, call_id: int, end: AttemptEnd) -> None:
         """Record how the open attempt of a call on a link ended, if there is one."""
-        attempt = link.open_attempts.pop(call, None)
+        attempt = link.open_attempts.pop(call_id, None)
         if attempt is not None:
             attempt.end, attempt.end_us = end, now_us()
--- a/rig/record.py
+++ b/rig/record.py
@@ -60,9 +60,7 @@
     delivered_us: int = 0  # when its release was forwarded to the program
     delivered_on_link: int = 0  # number of the link on which the release was forwarded
     released_by_program: bool = False  # whether the program released the call
-    end_sent_on: list[str] = field(
-        default_factory=list
-    )  # descriptions of the links on which the exchange sent the release
+    end_sent_on: list[str] = field(default_factory=list)  # links on which the exchange sent the release
 
 
 @dataclass(slots=True, frozen=True)
@@ -97,8 +95,8 @@
     seed: int
     longest_wait_us: int
     max_attempts: int
-    release_us: int
-    drain_grace_us: int
+    release_us: int  # pause that an attempt must keep after some ends of the one before
+    drain_grace_us: int  # after a drain is announced, set-ups may still be sent for this time
     calls: dict[int, Call] = field(default_factory=dict)
     attempts: list[Attempt] = field(default_factory=list)
     standing: dict[tuple[int, int], StandingCall] = field(default_factory=dict)
--- a/rig/rules.py
+++ b/rig/rules.py
@@ -15,17 +15,16 @@
 from .record import Attempt, AttemptEnd, Call, ListEvent, Process, Record, StandingCall
 
 TIME_LIMIT_SLACK_US = 50 * MILLISECOND
-LOST_AFTER_US = (
-    500 * MILLISECOND
-)  # after the caller's wait; a later final answer counts as lost, an earlier one is late and worth nothing
+LOST_AFTER_US = 500 * MILLISECOND  # past the caller's wait; a final answer up to then is late and worth nothing
 CLOSE_RACE_US = 50 * MILLISECOND  # a set-up sent this shortly before its connection closes is repeated by its client
 ACCEPTS_AFTER_SIGTERM_US = 700 * MILLISECOND  # a set-up that comes later is lost only if left unanswered
 RELEASE_LIMIT_US = 1 * SECOND  # from the release of the exchange to the release to the client
 MISSED_END_LIMIT_US = 8 * SECOND  # from the end of a call whose exchange cannot report it
 LIST_UPDATE_LIMIT_US = 6 * SECOND  # from the time at which discovery had a change and was reachable
 ANSWER_RACE_US = 200 * MILLISECOND  # an answer this shortly before the end of the call may not have arrived
-MIN_ANSWERED = 50
+MIN_ANSWERED = 50  # calls
 REPORT_DELAY_US = 500 * MILLISECOND  # events of an exchange this shortly before the end of the trial may be unreported
+# Texts in the log of the program that show a fault.
 FAULT_MARKS = ("Traceback", "fault, call")
 
 
@@ -165,6 +164,7 @@
             yield from _check_pair(record, call, before, after)
 
 
+# Ends of an attempt after which the next attempt must wait for `release_us`.
 PAUSE_AFTER = (AttemptEnd.RESET_REPORTED, AttemptEnd.GIVEN_UP, AttemptEnd.CLOSED, AttemptEnd.BROKEN)
 
 
--- a/rig/scenario.py
+++ b/rig/scenario.py
@@ -22,7 +22,12 @@
 from .trial import Trial, new_record
 
 TimedStep = tuple[float, Callable[[Trial], Awaitable[None]]]
-WAITS_US = (500 * MILLISECOND, 1200 * MILLISECOND, 3 * SECOND, 6 * SECOND)
+WAITS_US = (
+    500 * MILLISECOND,
+    1200 * MILLISECOND,
+    3 * SECOND,
+    6 * SECOND,
+)  # longest waits of callers, one drawn per trial
 INCIDENT_WAIT_US = 9 * SECOND  # the wait in the settings of the deployment that had the incident
 FAULT_PERIOD_S = 12.0  # faults begin within this time
 QUIET_PERIOD_S = 10.0  # after the faults; longer than any limit of a rule
@@ -176,6 +181,9 @@
     function(*arguments)
 
 
+# The following steps take the trial as their last argument, so that `partial` can set the others.
+
+
 async def _partition(number: int, seconds: float, trial: Trial) -> None:
     await trial.partition(number, seconds)
 
@@ -235,9 +243,12 @@
             await trial.restart(following_signals)
             await trio.sleep(0.2)
 
-    numbers: tuple[signal.Signals, ...] = (signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1)
+    signal_numbers: tuple[signal.Signals, ...] = (signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1)
     signals_by_restart = [
-        [(draws.random.uniform(0.0, 0.6), draws.random.choice(numbers)) for _ in range(draws.random.randint(1, 6))]
+        [
+            (draws.random.uniform(0.0, 0.6), draws.random.choice(signal_numbers))
+            for _ in range(draws.random.randint(1, 6))
+        ]
         for _ in range(draws.random.randint(1, 3))
     ]
     return [(draws.time_s(0.5, 5.0), partial(series, signals_by_restart))]
--- a/rig/site.py
+++ b/rig/site.py
@@ -23,9 +23,11 @@
 class Site:
     """One exchange with the id and the address that discovery publishes; a replacement is another site."""
 
-    def __init__(self, exchange_id: int, number: int, port: int, options: ExchangeOptions, record: Record) -> None:
+    def __init__(
+        self, exchange_id: int, exchange_number: int, port: int, options: ExchangeOptions, record: Record
+    ) -> None:
         self.exchange_id = exchange_id
-        self.exchange_number = number
+        self.exchange_number = exchange_number
         self.options = options
         self.record = record
         self.proxy = Proxy(
@@ -71,16 +73,16 @@
 
     def handle_report(self, report: dict[str, object]) -> None:
         """Enter one reported event in the record."""
-        at, event, call = int(str(report["at"])), report["event"], int(str(report["call"]))
-        key = (self.exchange_id, call)
+        at_us, event, call_id = int(str(report["at"])), report["event"], int(str(report["call"]))
+        key = (self.exchange_id, call_id)
         if event == "told" and key in self.record.standing:
             self.record.standing[key].end_sent_on.append(self.proxy.describe(int(str(report["port"]))))
         elif event == "answered":
-            answer = answer_description(int(str(report["port"])), call)
-            self.record.standing[key] = StandingCall(call, self.exchange_id, at, answer)
+            answer = answer_description(int(str(report["port"])), call_id)
+            self.record.standing[key] = StandingCall(call_id, self.exchange_id, at_us, answer)
         elif event in ("ended", "released") and key in self.record.standing:
             standing = self.record.standing[key]
-            standing.ended_us = standing.ended_us or at
+            standing.ended_us = standing.ended_us or at_us
             standing.released_by_program = event == "released"
 
     def change_options(self, options: ExchangeOptions) -> None:
--- a/rig/sockets.py
+++ b/rig/sockets.py
@@ -13,9 +13,8 @@
 BACKLOG = 128
 HOSTS_PER_SUBNET = 250
 FIRST_PORT = 20_000  # below the ephemeral ports that the system assigns to outgoing connections
-_port_candidates = itertools.count(
-    FIRST_PORT + os.getpid() * 16 % 10_000
-)  # differs by process: one trial may run twice at a time
+# The first port differs by process, since the same trial may run twice at a time.
+_port_candidates = itertools.count(FIRST_PORT + os.getpid() * 16 % 10_000)
 QUEUE_FILLERS = 3  # connections that fill a backlog of 0; the system accepts one or two more than the backlog
 LINGER_ZERO = struct.pack("ii", 1, 0)  # SO_LINGER on, 0 s: close() sends a reset
 
@@ -44,7 +43,7 @@
 
 
 async def send_all(sock: trio.socket.SocketType, data: bytes) -> None:
-    """Write all bytes; OSError if the connection breaks."""
+    """Write all bytes; raises OSError if the connection breaks."""
     view = memoryview(data)
     while view:
         view = view[await sock.send(view) :]
--- a/rig/trial.py
+++ b/rig/trial.py
@@ -96,12 +96,12 @@
         self.program.write_config(self.discovery.known_events())
         self.program.start()
         for site in (*self.sites.values(), *self.retired):
-            site.proxy.process_number = self.program.current_process.number
+            site.proxy.process_number = self.program.process_record.number
         self.nursery.start_soon(self.program.wait_for_exit)
         with trio.move_on_after(10):
             while not await self.passes_health_check():
                 await trio.sleep(0.02)
-            self.program.current_process.ready_us = now_us()
+            self.program.process_record.ready_us = now_us()
 
     async def passes_health_check(self) -> bool:
         """Whether the program passes the health check of the load balancer in front of it."""
@@ -117,7 +117,7 @@
         """Make the program print its trace, often enough that no entry is lost."""
         while True:
             await trio.sleep(TRACE_INTERVAL_S)
-            if self.program.current_process.ready_us:
+            if self.program.process_record.ready_us:
                 self.program.send_signal(signal.SIGUSR1)
 
     async def measure_stalls(self) -> None:
@@ -125,8 +125,8 @@
         while True:
             before = now_us()
             await trio.sleep(STALL_PROBE_S)
-            late = now_us() - before - int(STALL_PROBE_S * SECOND)
-            self.record.stall_us = max(self.record.stall_us, late)
+            late_us = now_us() - before - int(STALL_PROBE_S * SECOND)
+            self.record.stall_us = max(self.record.stall_us, late_us)
 
     async def hold_idle_connection(self) -> None:
         """Hold one connection of a crowd, which has sent the first byte of a message and then stays idle."""
@@ -159,17 +159,17 @@
         await self.start_program()
 
     async def _send_signals(self, series: Sequence[tuple[float, signal.Signals]]) -> None:
-        process = self.program.current_process
+        process = self.program.process_record
         for pause_s, number in series:
             await trio.sleep(pause_s)
-            if process is self.program.current_process:
+            if process is self.program.process_record:
                 self.program.send_signal(number)
 
     async def _stop_new_connections(self) -> None:
-        process = self.program.current_process
+        process = self.program.process_record
         await trio.sleep(CONNECTS_AFTER_SIGTERM_S)
         for client in self.clients:
-            client.may_connect = process is not self.program.current_process or not process.terminated_us
+            client.may_connect = process is not self.program.process_record or not process.terminated_us
 
     async def crash(self) -> None:
         """Send SIGKILL without SIGTERM before it, and start a new process at once."""
@@ -180,25 +180,28 @@
 
     async def reconfigure(self, times: int, pause_s: float, shorter: bool) -> None:
         """Write new configurations in quick succession, every fourth one invalid, with a SIGHUP after each."""
-        longest = self.record.longest_wait_us
+        longest_wait_us = self.record.longest_wait_us
         for k in range(times):
             self.record_fault("SIGHUP")
-            if k % 4 == 3 and self.program.current_process.ready_us:  # a starting process gets a valid one
+            if k % 4 == 3 and self.program.process_record.ready_us:  # a starting process gets a valid one
                 self.program.config_path.write_text("{")
             else:
                 if shorter:
-                    self.program.change_settings(longest if k % 2 else longest * 9 // 10)
+                    self.program.change_settings(longest_wait_us if k % 2 else longest_wait_us * 9 // 10)
                 self.program.write_config(self.discovery.known_events())
             self.program.send_signal(signal.SIGHUP)
             await trio.sleep(pause_s)
-        self.program.change_settings(longest)
+        self.program.change_settings(longest_wait_us)
         self.program.write_config(self.discovery.known_events())
         self.program.send_signal(signal.SIGHUP)
 
     # --- faults: discovery ---
 
     async def discovery_outage(self, kind: str, seconds: float) -> None:
-        """Have discovery refuse connects, leave connects without a reply, or send nothing, for a time."""
+        """Let discovery fail for a time.
+
+        `refusing` refuses connects, `deaf` leaves them without a reply, `silent` accepts them and sends nothing.
+        """
         self.record_fault(f"discovery {kind} for {seconds:.1f} s")
         if kind == "silent":
             self.discovery.stop_responding()
@@ -277,7 +280,7 @@
             new.proxy.replace_host(target)
         else:
             await self.start_site(new)
-            new.proxy.process_number = self.program.current_process.number
+            new.proxy.process_number = self.program.process_record.number
         self.sites[old.exchange_number] = new
         self.discovery.publish(new.endpoint)
         self.record_fault(
@@ -302,7 +305,11 @@
             site.proxy.listener.resume()
 
     def break_links(self, number: int, share: float, break_kind: str) -> None:
-        """Break some connections to an exchange in one of the ways of `scenario.BREAK_KINDS`, or by `halve`."""
+        """Break some links to an exchange.
+
+        `reset` and `close` end them, `forget` keeps them open but passes nothing any more, and `halve` resets them
+        towards the program only.
+        """
         self.record_fault(f"{share:.0%} of the links to {self.sites[number].exchange_id}: {break_kind}")
         proxy = self.sites[number].proxy
         if break_kind == "forget":
