--- a/rig/rules.py
+++ b/rig/rules.py
@@ -118,7 +118,8 @@
         if not call.released_us or call.released_us > due_us:
             after_ms = (call.released_us - standing.ended_us) // 1000 if call.released_us else -1
             text = (
-                f"{_describe(call)} at {standing.exchange_id}: client released {after_ms} ms after the end (-1: never)"
+                f"{_describe(call)} at {standing.exchange_id}: "
+                f"release reached the client {after_ms} ms after the end (-1: never)"
             )
             if standing.released_by_program:
                 text += ", released by the program"
