--- a/latchturn/session/channel.py
+++ b/latchturn/session/channel.py
@@ -32,25 +32,27 @@
         self.last_received_us = 0  # latest frame, or the start of the latest connect
         self.has_answered = False  # whether the latest connection has delivered a frame
 
-    def connect(self, address: tuple[str, int]) -> None:
+    def connect(self, channel_address: tuple[str, int]) -> None:
         """Connect at once, in place of any earlier connection, and ask for the events after the last one applied."""
-        self.address = address
+        self.address = channel_address
         self.connect_count += 1
         self.has_answered = False
         self.last_received_us = self.core.now
-        self.core.record(TraceEvent.CHANNEL_CONNECTING, reason=f"{address[0]}:{address[1]} after event {self.cursor}")
+        self.core.record(
+            TraceEvent.CHANNEL_CONNECTING, reason=f"{channel_address[0]}:{channel_address[1]} after event {self.cursor}"
+        )
         timeout_us = self._grown_timeout(CHANNEL_CONNECT_TIMEOUT_US, CHANNEL_CONNECT_TIMEOUT_MAX_US)
-        self.core.effects.append(ConnectChannel(address, self.cursor, timeout_us))
+        self.core.effects.append(ConnectChannel(channel_address, self.cursor, timeout_us))
 
-    def change_address(self, address: tuple[str, int]) -> None:
+    def change_address(self, channel_address: tuple[str, int]) -> None:
         """Connect to the address of a new configuration at once, if it differs.
 
         Without the comparison, configurations in quick succession would each end the connection to the same address
         before it has delivered anything.
         """
-        if address != self.address:
+        if channel_address != self.address:
             self.silent_connections = 0
-            self.connect(address)
+            self.connect(channel_address)
 
     def _grown_timeout(self, base_us: int, max_us: int) -> int:
         """A time limit, grown with the connections in a row that have delivered nothing."""
--- a/latchturn/session/exchanges.py
+++ b/latchturn/session/exchanges.py
@@ -55,10 +55,10 @@
         if update.kind is None or update.number <= self.channel.cursor:
             return
         self.channel.cursor = max(self.channel.cursor, update.number)
-        listed_ids = {record.entry.exchange for record in update.records}
+        listed_ids = {list_record.entry.exchange for list_record in update.records}
         entries: list[i.ListEntry] = []  # for the decision module
-        for record in update.records:
-            entry = record.entry
+        for list_record in update.records:
+            entry = list_record.entry
             known = self.by_id.get(entry.exchange)
             if known is None:
                 if entry.state is i.ListState.GONE:
@@ -66,11 +66,11 @@
                 # A new id at a known address replaces the exchange there. Without this, calls for the old id would be
                 # sent to the new exchange.
                 for other in self.by_id.values():
-                    if other.address == record.address and other.ident not in listed_ids:
+                    if other.address == list_record.address and other.ident not in listed_ids:
                         other.state = i.ListState.GONE
                         entries.append(i.ListEntry(other.ident, other.number, other.state, other.started_us))
                 known = self.by_id[entry.exchange] = Exchange(
-                    entry.exchange, entry.number, entry.state, entry.started_us, record.address,
+                    entry.exchange, entry.number, entry.state, entry.started_us, list_record.address,
                     last_received_us=self.core.now,
                     last_alive_us=self.core.now,
                 )  # fmt: skip
@@ -83,8 +83,8 @@
                 known.refusing_since_us = 0
             elif entry.state is i.ListState.DRAINING:
                 self.withdraw_queued_attempts(known)
-            if record.address != known.address:
-                known.address = record.address
+            if list_record.address != known.address:
+                known.address = list_record.address
                 for link in list(known.links.values()):
                     self.writing.drop(link, CloseReason.ADDRESS_CHANGED)
         if update.kind is i.ListKind.FULL:
--- a/latchturn/session/limits.py
+++ b/latchturn/session/limits.py
@@ -17,18 +17,13 @@
 WRITE_TIMEOUT_US = 2 * SECOND  # a write that takes longer means that the peer has vanished
 GIVE_UP_TIMEOUT_US = 50_000  # if a give-up is not written by then, its link is closed
 
-# --- failure detector ---
+# --- failure detector: silence limit and probe links ---
 
 # An exchange may vanish, and a call end, right after its last message; the caller must be notified within 8 s of that
 # end. The 1.25 s left after SILENCE_LIMIT_US are for the sweep, a busy machine and a caller that has to connect first.
 SILENCE_LIMIT_US = 6_750_000  # without a proof of life for this long, the exchange's standing calls count as ended
 PROBE_AFTER_US = 4_500_000  # silent this long: a probe link is opened, which a live exchange answers at once
 PROBE_INTERVAL_US = 650_000  # longer than the usual connect time-out; three probes fit before SILENCE_LIMIT_US
-SILENT_LINK_WAIT_US = SECOND  # a link up this long without a message no longer prevents the next probe link
-SIMULTANEOUS_RESET_US = 500_000  # resets of links within this time count as one event
-# A draining exchange that has refused connections for this long has ended its calls. Without this limit, another
-# process that has taken over its address by then would keep them standing.
-DRAINED_AFTER_US = 3 * SECOND
 
 # --- recovery links: opened to receive releases that were sent on lost links ---
 
@@ -39,28 +34,34 @@
 INITIAL_MESSAGES_US = SECOND // 4  # all initial messages on a new link arrive within this time of the first one
 LATE_FIRST_MESSAGE_US = SECOND // 2  # an exchange that sends nothing on a new link for this long has hung
 
-# --- links to exchanges ---
+# --- silent, reset, missing and refused links ---
 
-KEPT_LINKS = 2  # links kept open to each exchange at all times, so that each can be compared with the other
-MAX_LINKS_PER_EXCHANGE = 4  # links beyond KEPT_LINKS carry further attempts of the same call
-GROUP_STATE_SPREAD_US = SECOND // 4  # an exchange sends a group state on all its links within this time
-UNRESPONSIVE_US = SECOND // 4  # a link that lacks for this long what other links of its exchange receive is closed
-MAX_UNANSWERED_TIMEOUTS = 2  # attempts in a row that time out without any message, where no other link can be compared
-MAX_ATTEMPT_MOVES = 2  # times that an unsent attempt may move to another link
-LINK_PARTIAL_TIMEOUT_US = SECOND // 4  # for the rest of a partial message: those of exchanges are small and come whole
+SILENT_LINK_WAIT_US = SECOND  # a link up this long without a message no longer prevents the next probe link
+SIMULTANEOUS_RESET_US = 500_000  # resets of links within this time count as one event
 EXCHANGE_RELEASE_TTL_US = 60 * SECOND  # a release that waits for a link to its exchange is dropped after this
-RECONNECT_MIN_US = 50_000  # base of the reconnect pause, doubled with each failure in a row
-RECONNECT_MAX_US = 400_000  # upper limit of the reconnect pause
+# A draining exchange that has refused connections for this long has ended its calls. Without this limit, another
+# process that has taken over its address by then would keep them standing.
+DRAINED_AFTER_US = 3 * SECOND
 
 # --- sweeps and memory ---
 
 SWEEP_INTERVAL_US = SECOND // 4  # between two runs of the housekeeping
-MAX_SWEEP_DELAY_US = SECOND // 4  # a sweep later than this shows that this process has been stopped for a time
 MAX_REMEMBERED_IDS = 20_000  # ids of set-ups refused on arrival are remembered only while fewer ids are
 ENDED_CALL_TTL_US = 10 * SECOND  # ids of ended calls are kept this long to recognize late messages
+MAX_SWEEP_DELAY_US = SECOND // 4  # a sweep later than this shows that this process has been stopped for a time
 MAX_OUTBOX_MESSAGES = 2000  # waiting on one connection; with more, it is closed
 MAX_WRITE_MESSAGES = 100  # in one write
-MAX_LOGGED_CALL_IDS = 20  # in one log line
+
+# --- links to exchanges ---
+
+GROUP_STATE_SPREAD_US = SECOND // 4  # an exchange sends a group state on all its links within this time
+UNRESPONSIVE_US = SECOND // 4  # a link that lacks for this long what other links of its exchange receive is closed
+MAX_UNANSWERED_TIMEOUTS = 2  # attempts in a row that time out without any message, where no other link can be compared
+KEPT_LINKS = 2  # links kept open to each exchange at all times, so that each can be compared with the other
+MAX_ATTEMPT_MOVES = 2  # times that an unsent attempt may move to another link
+MAX_LINKS_PER_EXCHANGE = 4  # links beyond KEPT_LINKS carry further attempts of the same call
+RECONNECT_MIN_US = 50_000  # base of the reconnect pause, doubled with each failure in a row
+RECONNECT_MAX_US = 400_000  # upper limit of the reconnect pause
 
 # --- command channel ---
 
@@ -73,7 +74,7 @@
 CHANNEL_TIMEOUT_GROWTH = 1.3  # factor on both time-outs for each connection in a row that delivered nothing
 CHANNEL_RECONNECT_PAUSE_US = 200_000  # at most, after a connection that delivered nothing
 
-# --- callers ---
+# --- callers and calls ---
 
 RESERVED_DESCRIPTORS = 40  # for the interpreter, the listeners, the command channel and connections being closed
 DESCRIPTORS_PER_EXCHANGE = 3  # less than MAX_LINKS_PER_EXCHANGE: links for further attempts are seldom all open
@@ -83,11 +84,13 @@
 FIRST_MESSAGE_TIMEOUT_US = 2_600_000  # a caller without an open call to which nothing has been sent by then is closed
 CALLER_PARTIAL_TIMEOUT_US = 2_600_000  # for the rest of a partial message
 RECENT_ACTIVITY_US = 400_000  # a connection active this recently is closed to make room only if all others are too
+LINK_PARTIAL_TIMEOUT_US = SECOND // 4  # the same on a link: messages of exchanges are small and arrive whole
 MAX_FAULTS = 40  # useless messages on one connection before it is closed, not counting forgiven ones
 FAULTS_FORGIVEN_PER_SWEEP = 5  # one every 50 ms
 MAX_OPEN_CALLS = 400  # calls without a final answer, on one connection
 MAX_CALLS = 4000  # open and standing calls in total
 RELEASE_HOLD_US = SECOND // 2  # a release waits this long for a connection that has carried a set-up
+MAX_LOGGED_CALL_IDS = 20  # in one log line
 MAX_EXCHANGE_NUMBERS = 1 << 16  # exchange numbers are below this, far above all that exist
 
 # --- start and drain ---
