--- a/latchturn/session/limits.py
+++ b/latchturn/session/limits.py
@@ -48,7 +48,7 @@
 SWEEP_INTERVAL_US = SECOND // 4  # between two runs of the housekeeping
 MAX_REMEMBERED_IDS = 20_000  # ids of set-ups refused on arrival are remembered only while fewer ids are
 ENDED_CALL_TTL_US = 10 * SECOND  # ids of ended calls are kept this long to recognize late messages
-MAX_SWEEP_DELAY_US = SECOND // 4  # a sweep later than this shows that this process has been stopped for a time
+MAX_SWEEP_DELAY_US = SECOND // 4  # a sweep more than this late shows that this process has been stopped for a time
 MAX_OUTBOX_MESSAGES = 2000  # waiting on one connection; with more, it is closed
 MAX_WRITE_MESSAGES = 100  # in one write
 
