--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -34,24 +34,24 @@
         All links that are opened to exchange 1 come up without a message, or are refused, or time out; with `attempts`,
         further calls are set up there.
         """
-        desk, done, call = self.desk, len(self.desk.connects), 100
+        desk, handled, call = self.desk, len(self.desk.connects), 100
         while desk.now < self.start_us + 12 * SECOND:
             written = desk.pass_time(50_000)
             if attempts and desk.now % 500_000 < 50_000:
                 call += 1
                 written += desk.hear(1, set_up(call))
-            for asked in desk.connects[done:]:
-                stream = asked.stream
+            for connect in desk.connects[handled:]:
+                stream = connect.stream
                 if self.desk.session.links.by_stream[stream].exchange_id == 102:
                     desk.do(s.Connected(stream))
                     desk.hear(stream, group_state(20))
                 elif connects is not None:
                     desk.do(s.Connected(stream))
-                elif asked.timeout_us and desk.now % 500_000 < 50_000:
+                elif connect.timeout_us and desk.now % 500_000 < 50_000:
                     written += desk.do(s.ConnectFailed(stream, refused))
                 else:
                     break
-                done += 1
+                handled += 1
             self.desk.hear(desk.second[2], group_state(desk.now // 50_000 % 20))
             if (1, END) in written:
                 return desk.now - self.start_us
@@ -104,13 +104,13 @@
         return 5 in self.desk.session.calls.by_id
 
     def test_a_quiet_exchange_that_answers_probes_keeps_its_calls(self) -> None:
-        desk, done = self.desk, len(self.desk.connects)
+        desk, handled = self.desk, len(self.desk.connects)
         for _ in range(400):
             desk.pass_time(50_000)
-            for asked in desk.connects[done:]:
-                desk.do(s.Connected(asked.stream))
-                desk.hear(asked.stream, group_state(12))
-            done = len(desk.connects)
+            for connect in desk.connects[handled:]:
+                desk.do(s.Connected(connect.stream))
+                desk.hear(connect.stream, group_state(12))
+            handled = len(desk.connects)
         self.assertTrue(self.stands())
         quiet = [r for r in desk.session.core.trace.records if r.event is TraceEvent.EXCHANGE_QUIET]
         self.assertGreaterEqual(len([r for r in quiet if r.exchange == 101]), 3)
@@ -136,12 +136,12 @@
     def test_a_connect_is_proof_of_life_for_an_exchange_without_group_states(self) -> None:
         desk = self.desk
         desk.session.exchanges.by_id[101].sends_group_states = False
-        done = len(desk.connects)
+        handled = len(desk.connects)
         for _ in range(400):
             desk.pass_time(50_000)
-            for asked in desk.connects[done:]:
-                desk.do(s.Connected(asked.stream))
-            done = len(desk.connects)
+            for connect in desk.connects[handled:]:
+                desk.do(s.Connected(connect.stream))
+            handled = len(desk.connects)
         self.assertTrue(self.stands())
 
     def test_a_draining_exchange_may_end_some_links_and_send_on_others(self) -> None:
@@ -184,14 +184,14 @@
         for k in range(3):
             desk.stand(10 + k)
         desk.do(s.PartialMessage(desk.link[1], True))
-        connects, done = len(desk.connects), len(desk.connects)
+        connects, handled = len(desk.connects), len(desk.connects)
         for _ in range(60):
             desk.pass_time_in_touch(SECOND // 4, SECOND // 4)
-            for asked in desk.connects[done:]:
-                desk.do(s.Connected(asked.stream))
-                desk.hear(asked.stream, group_state(3))
-            done = len(desk.connects)
-        self.assertLessEqual(done - connects, 5)  # in 15 s: the replacement of the closed link, and one each 5 s
+            for connect in desk.connects[handled:]:
+                desk.do(s.Connected(connect.stream))
+                desk.hear(connect.stream, group_state(3))
+            handled = len(desk.connects)
+        self.assertLessEqual(handled - connects, 5)  # in 15 s: the replacement of the closed link, and one each 5 s
 
     def test_a_link_that_receives_each_group_state_a_little_later_is_not_closed(self) -> None:
         desk = self.desk
@@ -259,9 +259,7 @@
             self.bring_up_links()
         return written
 
-    def test_a_reset_of_all_links_after_a_silence_ends_the_calls_in_time_though_new_links_deliver_messages(
-        self,
-    ) -> None:
+    def test_a_reset_of_all_links_after_a_silence_ends_the_calls_in_time_though_new_links_respond(self) -> None:
         # Soak seed 25: a machine vanished, and another one had its address before any connect had failed.
         desk = self.desk
         self.reset_all_after_silence()
--- a/tests/test_missed_ends.py
+++ b/tests/test_missed_ends.py
@@ -31,16 +31,16 @@
 
     def bring_up_links(self, sends: bool = True) -> list[int]:
         """Bring up the links that are connecting, and return them; a running exchange sends its group state on each."""
-        desk, asked = self.desk, []
+        desk, brought_up = self.desk, []
         for connect in desk.connects[self.connects_seen :]:
             link = desk.session.links.by_stream.get(connect.stream)
             if link is not None and not link.up_since_us:
                 desk.do(s.Connected(connect.stream))
-                asked.append(connect.stream)
+                brought_up.append(connect.stream)
                 if sends:
                     desk.hear(connect.stream, group_state(3))
         self.connects_seen = len(desk.connects)
-        return asked
+        return brought_up
 
     def hang(self) -> list[int]:
         """Hang the exchange and reset the link of the set-up; returns the new links, which its listener has queued."""
@@ -127,12 +127,12 @@
         # Without this, an end reported on that link alone would never be received.
         desk = self.desk
         self.reset_link(desk.link[1])
-        forgotten = self.bring_up_links(sends=False)
+        dropped_by_network = self.bring_up_links(sends=False)
         desk.pass_time(limits.PROBE_AFTER_US + limits.SWEEP_INTERVAL_US)
         later = self.bring_up_links()
         self.assertTrue(later)
         desk.pass_time(SECOND)
-        self.assertLessEqual(set(forgotten), set(desk.closed))
+        self.assertLessEqual(set(dropped_by_network), set(desk.closed))
         self.assertIn((1, END), self.pass_time(self.start_us + NOTIFY_LIMIT_US))
 
 
