--- a/latchturn/net.py
+++ b/latchturn/net.py
@@ -462,6 +462,7 @@
                 self._handle_signal(signal_number)
 
     def _handle_signal(self, signal_number: int) -> None:
+        """SIGUSR1 logs counters and trace, SIGHUP reads the configuration again, any other signal ends the program."""
         if signal_number == signal.SIGUSR1:
             log("\n".join((self.counters_line(), *self.reducer.trace_lines())), always=True)
         elif signal_number == signal.SIGHUP:
