--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -364,7 +364,7 @@
 def test_call_that_cannot_be_sent_any_more_is_refused_at_once() -> None:
     """A later final answer would only keep the caller from redialling."""
     short = settings_with(max_attempts=1)
-    cases = [  # settings, time on the call when its first attempt ends, how it ends
+    cases = [  # settings, time from the offer to the end of the first attempt, outcome
         (short, 0, i.Outcome.NO_LINE),  # no attempt is left
         (SETTINGS, 700_000, i.Outcome.TIMED_OUT),  # the release time ends after its time in the queue
     ]
@@ -380,7 +380,7 @@
     for _ in range(4):  # from the second unanswered attempt on each doubles the back-off
         call, _ = harness.offer(1)
         harness.end_attempt(call, 1, i.Outcome.UNREACHABLE, concluded=True)
-        harness.now = max(harness.now, harness.controller.exchanges[101].blocked_until)
+        harness.now = max(harness.now, harness.controller.exchanges[101].blocked_until_us)
     call, _ = harness.offer(1)
     harness.end_attempt(call, 1, i.Outcome.UNREACHABLE, concluded=True)
     call, actions = harness.offer(1)
@@ -404,7 +404,7 @@
 
 
 def test_a_group_found_full_costs_a_call_one_attempt() -> None:
-    """The remote exchange has filled the group before its report arrives; else all attempts fail in milliseconds."""
+    """A call must not spend all its attempts within milliseconds on a group whose report arrives too late."""
     harness = ControllerHarness()
     call, actions = harness.offer(1)
     assert sent_to(actions) == [1]
