--- a/latchturn/checking/properties.py
+++ b/latchturn/checking/properties.py
@@ -146,9 +146,7 @@
 
 class SetUpUnchanged(Property):
     name = "unchanged"
-    statement = (
-        "A set-up is forwarded with its id, class, number and description, and a wait within the remaining wait."
-    )
+    statement = "A forwarded set-up keeps its id, class, number and description, and waits no longer than its caller."
 
     def violation(self, history: History, observation: Observation) -> str | None:
         message, call = observation.message, observation.call
--- a/latchturn/checking/scopes.py
+++ b/latchturn/checking/scopes.py
@@ -46,7 +46,7 @@
     rare_choices: int = 2  # limit of choices on a path that are not in `environment.COMMON_KINDS`
     idle_steps: int = 1  # limit of steps of the clock while no caller waits for an answer
     starts_beside_another: bool = False  # the program starts while its predecessor still serves
-    first_kinds: tuple[str, ...] = ()  # kinds that the first choice may have; not used yet
+    first_kinds: tuple[str, ...] = ()  # kinds that the first choice may have; nothing reads it yet
     leaves_out: str = ""
 
 
