--- a/latchturn/checking/history.py
+++ b/latchturn/checking/history.py
@@ -207,6 +207,7 @@
                 pass
 
     def _from_caller(self, stream: int, message: p.Message) -> None:
+        """Record a message from a caller. A set-up with a known id is a repetition unless that call was given up."""
         known_call = self.calls.get(message.call)
         if isinstance(message, p.SetUp):
             repeated = known_call is not None and (
@@ -228,6 +229,7 @@
                 known_call.ended_by_caller_us = known_call.ended_for_caller_us = self.now_us
 
     def _from_exchange(self, link: int, message: p.Message) -> None:
+        """Record a message from an exchange: the end of an attempt or of a standing call."""
         observed = self.calls.get(message.call)
         if observed is None:
             return
@@ -247,10 +249,12 @@
                 self._standing_call_ended(observed)
 
     def _standing_call_ended(self, observed: ObservedCall) -> None:
+        """Record the reported end of a standing call, unless it has ended already."""
         if not observed.end_reported_us and not observed.ended_by_caller_us:
             observed.end_reported_us = self.now_us
 
     def _attempt_ended(self, observed: ObservedCall, attempt: ObservedAttempt, starts_pause: bool) -> None:
+        """Record the end of an attempt. `starts_pause`: the next attempt must wait for `release_us`."""
         observed.outstanding.remove(attempt)
         if starts_pause:
             observed.pause_since_us = self.now_us
@@ -279,6 +283,7 @@
                     observed.abandoned, observed.answer_may_cross = True, was_stalled
 
     def _apply_list_update(self, update: p.ListUpdate) -> None:
+        """Record the changes of an update of the exchange list that is newer than the last one."""
         if update.kind is None or update.number <= self.cursor:
             return
         self.cursor = update.number
@@ -303,6 +308,7 @@
                     self._exchange_gone(exchange_id)
 
     def _exchange_gone(self, exchange: int) -> None:
+        """Record that an exchange is gone: its standing calls have ended."""
         listed = self.exchanges[exchange]
         listed.not_ready_since_us, listed.gone = listed.not_ready_since_us or self.now_us, True
         for observed in self.calls.values():
@@ -342,6 +348,7 @@
                 pass
 
     def _to_exchange(self, link: int, message: p.Message) -> None:
+        """Record a message to an exchange: an attempt, its give-up or the end of a standing call."""
         observed = self.calls.get(message.call)
         if isinstance(message, p.SetUp):
             must_end_by_us = self.now_us + message.wait_ms * 1000 + GIVE_UP_SLACK_US
@@ -356,6 +363,7 @@
                 attempt.giving_up = attempt.giving_up or attempt.link == link
 
     def _to_caller(self, stream: int, message: p.Message) -> None:
+        """Record a message to a caller: a final answer or the end of a standing call."""
         if not isinstance(message, p.Answer | p.Release):
             return
         observed = self.calls.get(message.call)
