--- a/rig/scenario.py
+++ b/rig/scenario.py
@@ -279,7 +279,7 @@
     draws.random = random.Random(f"soak further {seed}")
     names = [name for name in FURTHER_FAMILIES if draws.random.random() < FAMILY_SHARE]
     if "shutdowns" in base_plan.families and "signals" in names:
-        names.remove("signals")  # two overlapping series of restarts would interfere
+        names.remove("signals")  # a trial has only one series of restarts at a time
     steps = tuple(step for name in names for step in FURTHER_FAMILIES[name](draws))
     absent = draws.random.randint(0, 2)
     return replace(base_plan, families=(*base_plan.families, *names), steps=(*base_plan.steps, *steps), absent=absent)
