--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -180,103 +180,111 @@
     return p.GroupState(0, {"spare": free, "total": size, "allowed": allowed})
 
 
-def listed(number: int, port: int = 0, state: i.ListState = i.ListState.READY, started: int = 0) -> p.ExchangeRecord:
-    """An exchange in the list; without a port it has one of its own."""
+def exchange_record(
+    number: int, port: int = 0, state: i.ListState = i.ListState.READY, started: int = 0
+) -> p.ExchangeRecord:
+    """The exchange list record of an exchange; without a port, its port is 1000 plus its number."""
     return p.ExchangeRecord(i.ListEntry(100 + number, number, state, started), ("127.0.0.1", port or 1000 + number))
 
 
-class Desk:
-    """A reducer among exchanges 0 to `far`, all linked; writes are through at once unless `hold` is set."""
+class SessionHarness:
+    """Runs a reducer on a simulated clock, with exchanges 0 (the own one) to `remote_exchanges`.
 
-    def __init__(self, far: int = 2, sockets: int = 1024) -> None:
+    Both kept links to each remote exchange are up, and caller stream 1 is connected. Writes complete at once, except on
+    streams in `stalled_streams`.
+    """
+
+    def __init__(self, remote_exchanges: int = 2, socket_limit: int = 1024) -> None:
         settings, _ = read_settings(p.flatten_settings(NESTED))
         self.settings = settings
-        self.session = s.Session(settings, 7, sockets)
+        self.session = s.Session(settings, 7, socket_limit)
         self.now = 1_700_000_000 * SECOND
-        self.hold: set[int] = set()
+        self.stalled_streams: set[int] = set()
         self.written: list[tuple[int, p.Message]] = []
         self.connects: list[s.Connect] = []
-        self.follows: list[s.ConnectChannel] = []
+        self.channel_connects: list[s.ConnectChannel] = []
         self.closed: list[int] = []
         self.replies: list[str] = []
-        self.bequeathed: tuple[tuple[int, int], ...] = ()
-        self.taking: list[bool] = []  # whether callers are taken, as that changed
-        self.ended = False
-        update = p.ListUpdate(1, i.ListKind.FULL, tuple(listed(k) for k in range(far + 1)))
-        self.do(s.Started((update,), 1, ("127.0.0.1", 9)))
-        self.do(s.ListenerReady())
-        self.link = {k: self.connects[k - 1].stream for k in range(1, far + 1)}
-        self.second: dict[int, int] = {}  # the other link to each exchange
-        for k, stream in self.link.items():
-            self.do(s.Connected(stream))
-            self.second[k] = self.connects[-1].stream
-            self.do(s.Connected(self.second[k]))
-            for link in (stream, self.second[k]):
-                self.hear(link, group_state(40 - k))
-        self.do(s.Accepted(1))
-
-    def do(self, happened: s.Input) -> list[tuple[int, p.Message]]:
-        """One input; what is written because of it."""
+        self.handed_over_calls: tuple[tuple[int, int], ...] = ()
+        self.accepting_callers: list[bool] = []  # the values of all `AcceptCallers` effects
+        self.exited = False
+        update = p.ListUpdate(1, i.ListKind.FULL, tuple(exchange_record(k) for k in range(remote_exchanges + 1)))
+        self.submit(s.Started((update,), 1, ("127.0.0.1", 9)))
+        self.submit(s.ListenerReady())
+        self.first_links = {k: self.connects[k - 1].stream for k in range(1, remote_exchanges + 1)}
+        self.second_links: dict[int, int] = {}
+        for k, stream in self.first_links.items():
+            self.submit(s.Connected(stream))
+            self.second_links[k] = self.connects[-1].stream
+            self.submit(s.Connected(self.second_links[k]))
+            for link in (stream, self.second_links[k]):
+                self.deliver(link, group_state(40 - k))
+        self.submit(s.Accepted(1))
+
+    def submit(self, input_: s.Input) -> list[tuple[int, p.Message]]:
+        """Step the reducer with one input, and return the messages written in response."""
         begin = len(self.written)
-        for effect in self.session.step(self.now, happened):
+        for effect in self.session.step(self.now, input_):
             if isinstance(effect, s.Write):
                 self.written += [(effect.stream, message) for message in effect.messages]
-                if effect.stream not in self.hold:
-                    self.do(s.WriteCompleted(effect.stream))
+                if effect.stream not in self.stalled_streams:
+                    self.submit(s.WriteCompleted(effect.stream))
             elif isinstance(effect, s.Connect):
                 self.connects.append(effect)
             elif isinstance(effect, s.ConnectChannel):
-                self.follows.append(effect)
+                self.channel_connects.append(effect)
             elif isinstance(effect, s.Close):
                 self.closed.append(effect.stream)
             elif isinstance(effect, s.CloseIdle):
-                self.do(s.ConnectionClosed(effect.stream))
+                self.submit(s.ConnectionClosed(effect.stream))
                 self.closed.append(effect.stream)
             elif isinstance(effect, s.HandOverCalls):
-                self.bequeathed = effect.calls
+                self.handed_over_calls = effect.calls
             elif isinstance(effect, s.AcceptCallers):
-                self.taking.append(effect.on)
+                self.accepting_callers.append(effect.on)
             elif isinstance(effect, s.Reply):
                 self.replies.append(effect.data.decode())
             elif isinstance(effect, s.Exit):
-                self.ended = True
+                self.exited = True
         return self.written[begin:]
 
-    def hear(self, stream: int, message: p.Message) -> list[tuple[int, p.Message]]:
-        return self.do(s.MessageReceived(stream, message))
+    def deliver(self, stream: int, message: p.Message) -> list[tuple[int, p.Message]]:
+        """Deliver a message from the peer of a stream, and return the messages written in response."""
+        return self.submit(s.MessageReceived(stream, message))
 
-    def ask(self, command: o.Command | None) -> str:
-        """What the admin listener answers to a call."""
-        self.do(s.AdminRequest(1, command))
+    def ask_admin(self, command: o.Command | None) -> str:
+        """Send a command to the admin listener, and return its answer."""
+        self.submit(s.AdminRequest(1, command))
         return self.replies[-1]
 
     def figure(self, name: str) -> int:
+        """One of the counters and gauges that operators see."""
         return self.session.figures()[name]
 
     def pass_time(self, us: int) -> list[tuple[int, p.Message]]:
-        """Let time pass with every timer on the way."""
+        """Advance the clock, run every timer that becomes due, and return the messages written meanwhile."""
         begin, end = len(self.written), self.now + us
         while (due := self.session.wake_us()) is not None and due <= end:
             self.now = max(self.now, due)
-            self.do(s.Tick())
+            self.submit(s.Tick())
         self.now = end
         return self.written[begin:]
 
-    def pass_time_in_touch(self, us: int, tell_us: int = SECOND) -> list[tuple[int, p.Message]]:
-        """Let time pass while the exchanges go on telling group states on every link that is up."""
+    def pass_time_with_reports(self, us: int, report_interval_us: int = SECOND) -> list[tuple[int, p.Message]]:
+        """Like `pass_time`, while a new group state arrives on every link that is up in each interval."""
         begin, end = len(self.written), self.now + us
         while self.now < end:
-            self.pass_time(min(tell_us, end - self.now))
-            free = 10 + self.now // tell_us % 20
+            self.pass_time(min(report_interval_us, end - self.now))
+            free = 10 + self.now // report_interval_us % 20
             for stream, link in list(self.session.links.by_stream.items()):
                 if link.up:
-                    self.hear(stream, group_state(free))
+                    self.deliver(stream, group_state(free))
         return self.written[begin:]
 
-    def stand(self, call: int, to: int = 1) -> None:
-        """Bring a call to stand at an exchange."""
-        self.hear(1, set_up(call, to))
-        self.hear(self.link[to], p.Answer(call, b"yes"))
+    def establish_call(self, call: int, to: int = 1) -> None:
+        """Set up a call from caller stream 1 and have an exchange answer it, so that it is standing."""
+        self.deliver(1, set_up(call, to))
+        self.deliver(self.first_links[to], p.Answer(call, b"yes"))
 
 
 class Peer:
--- a/tests/test_checking.py
+++ b/tests/test_checking.py
@@ -23,7 +23,7 @@
 from latchturn.checking.walks import replay_offered, shorten, walk
 from latchturn.cli.__main__ import main
 from latchturn.session.machines import CALL, MACHINES, CallState, CallTransition, InvalidTransition, Machine
-from tests.helpers import Desk, listed, set_up
+from tests.helpers import SessionHarness, exchange_record, set_up
 
 PATH = (("set_up", 1), ("refuse", -1, 1, "reset"))
 
@@ -47,14 +47,14 @@
                 Machine("broken", CallState, CallTransition, moves, never)
 
     def test_an_impossible_move_is_counted_logged_and_fails_its_call_alone(self) -> None:
-        desk = Desk()
-        desk.hear(1, set_up(5))
-        desk.hear(1, set_up(6, to=2))
-        desk.session.calls.by_id[5].state = CallState.OVER
-        written = desk.hear(desk.link[1], p.Answer(5, b"yes"))
-        self.assertEqual(desk.session.counters["errors"], 2)  # at the answer, and again as it is failed
+        harness = SessionHarness()
+        harness.deliver(1, set_up(5))
+        harness.deliver(1, set_up(6, to=2))
+        harness.session.calls.by_id[5].state = CallState.OVER
+        written = harness.deliver(harness.first_links[1], p.Answer(5, b"yes"))
+        self.assertEqual(harness.session.counters["errors"], 2)  # at the answer, and again as it is failed
         self.assertLessEqual(len([m for k, m in written if k == 1]), 1)
-        self.assertEqual(desk.hear(desk.link[2], p.Answer(6, b"yes")), [(1, p.Answer(6, b"yes"))])
+        self.assertEqual(harness.deliver(harness.first_links[2], p.Answer(6, b"yes")), [(1, p.Answer(6, b"yes"))])
         self.assertEqual(CALL.next_state(CallState.OWED, CallTransition.ANSWER), CallState.STANDING)
 
 
@@ -62,25 +62,25 @@
     """What the checker has found in the reducer."""
 
     def test_a_drain_takes_back_what_waits_for_a_link(self) -> None:
-        desk = Desk()
-        for stream in (desk.link[1], desk.second[1]):
-            desk.do(s.ConnectionClosed(stream))
-        desk.hear(1, set_up(5))
-        call = desk.session.calls.by_id[5]
+        harness = SessionHarness()
+        for stream in (harness.first_links[1], harness.second_links[1]):
+            harness.submit(s.ConnectionClosed(stream))
+        harness.deliver(1, set_up(5))
+        call = harness.session.calls.by_id[5]
         self.assertIsNotNone(call.attempt)
-        draining = p.ListUpdate(2, i.ListKind.CHANGES, (listed(1, state=i.ListState.DRAINING),))
-        written = desk.do(s.ListUpdateReceived(draining))
-        self.assertEqual(desk.session.counters["attempts_not_sent"], 1)
-        self.assertTrue(all(k != desk.link[1] for k, _ in written))
+        draining = p.ListUpdate(2, i.ListKind.CHANGES, (exchange_record(1, state=i.ListState.DRAINING),))
+        written = harness.submit(s.ListUpdateReceived(draining))
+        self.assertEqual(harness.session.counters["attempts_not_sent"], 1)
+        self.assertTrue(all(k != harness.first_links[1] for k, _ in written))
         self.assertIsInstance(written[-1][1], p.Release | p.SetUp)  # answered, or on its way elsewhere
 
     def test_a_give_up_that_is_through_hangs_on_no_timer(self) -> None:
-        desk = Desk()
-        desk.hear(1, set_up(5))
-        desk.hold.add(desk.link[1])
-        desk.pass_time(1_600_000)  # timed out, its give-up held
-        desk.do(s.WriteCompleted(desk.link[1]))
-        held = [t for _, _, t in desk.session.timers.heap if isinstance(t.subject, s.Attempt)]
+        harness = SessionHarness()
+        harness.deliver(1, set_up(5))
+        harness.stalled_streams.add(harness.first_links[1])
+        harness.pass_time(1_600_000)  # timed out, its give-up held
+        harness.submit(s.WriteCompleted(harness.first_links[1]))
+        held = [t for _, _, t in harness.session.timers.heap if isinstance(t.subject, s.Attempt)]
         self.assertEqual(held, [])
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -18,7 +18,7 @@
 from latchturn import session as s
 from latchturn.session import limits
 
-from .helpers import SECOND, Desk, Program, set_up
+from .helpers import SECOND, Program, SessionHarness, set_up
 
 PING = o.Command.PING
 
@@ -27,69 +27,69 @@
     """The process that is replaced."""
 
     def setUp(self) -> None:
-        self.desk = Desk()
+        self.harness = SessionHarness()
         for stream in (2, 3):
-            self.desk.do(s.Accepted(stream))
-        self.desk.pass_time(SECOND)
+            self.harness.submit(s.Accepted(stream))
+        self.harness.pass_time(SECOND)
 
     def test_it_accepts_no_callers_and_closes_connections_as_they_become_idle(self) -> None:
-        desk = self.desk
-        desk.hear(2, set_up(5))
-        desk.do(s.SuccessorChanged(True))
-        self.assertEqual((desk.taking, desk.ask(PING)), ([True, False], "ERR ending\n"))
+        harness = self.harness
+        harness.deliver(2, set_up(5))
+        harness.submit(s.SuccessorChanged(True))
+        self.assertEqual((harness.accepting_callers, harness.ask_admin(PING)), ([True, False], "ERR ending\n"))
         # The load balancer's health check is about the address, which the successor serves.
-        self.assertEqual(desk.hear(3, p.HealthCheck(9)), [(3, p.HealthCheckResult(9, True))])
-        desk.pass_time(limits.DRAIN_INTERVAL_US)
-        self.assertEqual(sorted(desk.closed), [1, 3])
-        desk.hear(desk.link[1], p.Answer(5, b"yes"))
-        desk.pass_time(2 * SECOND)
-        desk.hear(2, set_up(7, to=2))  # set-ups on open connections are still served
-        desk.hear(desk.link[2], p.Answer(7, b"yes"))
-        self.assertEqual(desk.figure("outstanding"), 2)
-        self.assertEqual(sorted(desk.closed), [1, 3])
+        self.assertEqual(harness.deliver(3, p.HealthCheck(9)), [(3, p.HealthCheckResult(9, True))])
+        harness.pass_time(limits.DRAIN_INTERVAL_US)
+        self.assertEqual(sorted(harness.closed), [1, 3])
+        harness.deliver(harness.first_links[1], p.Answer(5, b"yes"))
+        harness.pass_time(2 * SECOND)
+        harness.deliver(2, set_up(7, to=2))  # set-ups on open connections are still served
+        harness.deliver(harness.first_links[2], p.Answer(7, b"yes"))
+        self.assertEqual(harness.figure("outstanding"), 2)
+        self.assertEqual(sorted(harness.closed), [1, 3])
 
     def test_it_exits_once_all_connections_are_closed_despite_standing_calls(self) -> None:
-        desk = self.desk
-        desk.hear(2, set_up(5))
-        desk.hear(desk.link[1], p.Answer(5, b"yes"))
-        desk.do(s.SuccessorChanged(True))
-        desk.pass_time_in_touch(10 * SECOND)
-        self.assertEqual(sorted(desk.closed), [1, 3])
-        desk.do(s.Terminate())
-        desk.pass_time(SECOND)
-        self.assertFalse(desk.ended)
-        desk.pass_time(SECOND)
-        self.assertEqual(sorted(desk.closed), [1, 2, 3])
-        self.assertTrue(desk.ended)
+        harness = self.harness
+        harness.deliver(2, set_up(5))
+        harness.deliver(harness.first_links[1], p.Answer(5, b"yes"))
+        harness.submit(s.SuccessorChanged(True))
+        harness.pass_time_with_reports(10 * SECOND)
+        self.assertEqual(sorted(harness.closed), [1, 3])
+        harness.submit(s.Terminate())
+        harness.pass_time(SECOND)
+        self.assertFalse(harness.exited)
+        harness.pass_time(SECOND)
+        self.assertEqual(sorted(harness.closed), [1, 2, 3])
+        self.assertTrue(harness.exited)
 
     def test_late_set_ups_are_refused_so_that_no_connection_stays_busy(self) -> None:
-        desk = self.desk
-        desk.do(s.SuccessorChanged(True))
-        desk.do(s.Terminate())
-        desk.hear(2, set_up(5))
-        desk.pass_time(SECOND)
-        desk.hear(2, set_up(6, to=2))
-        desk.hear(desk.link[1], p.Answer(5, b"yes"))
-        desk.pass_time(SECOND * 14 // 10)
+        harness = self.harness
+        harness.submit(s.SuccessorChanged(True))
+        harness.submit(s.Terminate())
+        harness.deliver(2, set_up(5))
+        harness.pass_time(SECOND)
+        harness.deliver(2, set_up(6, to=2))
+        harness.deliver(harness.first_links[1], p.Answer(5, b"yes"))
+        harness.pass_time(SECOND * 14 // 10)
         refusal = p.Release(7, p.ReleaseCause.CONGESTION, retry_after_ms=limits.DRAIN_RETRY_AFTER_MS)
-        self.assertIn((2, refusal), desk.hear(2, set_up(7)))
+        self.assertIn((2, refusal), harness.deliver(2, set_up(7)))
 
     def test_it_serves_again_if_the_successor_exits_before_sigterm(self) -> None:
-        desk = self.desk
-        desk.do(s.SuccessorChanged(True))
-        desk.do(s.SuccessorChanged(False))
-        self.assertEqual((desk.taking, desk.ask(PING)), ([True, False, True], "OK serving\n"))
-        desk.pass_time(SECOND)
-        self.assertEqual(desk.closed, [])
-        desk.do(s.SuccessorChanged(True))
-        desk.do(s.Terminate())
-        desk.do(s.SuccessorChanged(False))
-        self.assertEqual(desk.taking, [True, False, True, False])
+        harness = self.harness
+        harness.submit(s.SuccessorChanged(True))
+        harness.submit(s.SuccessorChanged(False))
+        self.assertEqual((harness.accepting_callers, harness.ask_admin(PING)), ([True, False, True], "OK serving\n"))
+        harness.pass_time(SECOND)
+        self.assertEqual(harness.closed, [])
+        harness.submit(s.SuccessorChanged(True))
+        harness.submit(s.Terminate())
+        harness.submit(s.SuccessorChanged(False))
+        self.assertEqual(harness.accepting_callers, [True, False, True, False])
 
 
 class Successor(unittest.TestCase):
     def test_it_accepts_callers_only_once_it_is_ready(self) -> None:
-        ready = Desk()
+        ready = SessionHarness()
         new = s.Session(ready.session.classes.settings, 7, 1024)
         effects_before_ready = [effect for effect in new.step(ready.now, s.Started((), 1, ("127.0.0.1", 9), True))]
         new.exchanges.by_id = ready.session.exchanges.by_id
@@ -102,65 +102,65 @@
         self.assertNotIn(s.AcceptCallers(True), new.step(ready.now, s.Tick()))
 
     def test_a_successor_that_is_terminated_before_it_is_ready_accepts_no_callers(self) -> None:
-        new = s.Session(Desk().session.classes.settings, 7, 1024)
+        new = s.Session(SessionHarness().session.classes.settings, 7, 1024)
         for input_ in (s.Started((), 1, ("127.0.0.1", 9), True), s.Terminate(), s.ListenerReady()):
             self.assertNotIn(s.AcceptCallers(True), new.step(SECOND, input_))
 
     def test_descriptors_of_the_other_process_reduce_the_budget(self) -> None:
-        desk = Desk(far=2, sockets=200)
+        harness = SessionHarness(remote_exchanges=2, socket_limit=200)
         for stream in (2, 3):
-            desk.do(s.Accepted(stream))
-        desk.do(s.OtherProcessUsage(200 - 2 * limits.MIN_CALLERS_DIVISOR))
-        self.assertEqual(desk.closed, [1])
-        desk.do(s.Accepted(4))
-        self.assertEqual(desk.closed, [1, 2])
-        desk.do(s.OtherProcessUsage(0))
-        desk.do(s.Accepted(5))
-        self.assertEqual(desk.closed, [1, 2])
+            harness.submit(s.Accepted(stream))
+        harness.submit(s.OtherProcessUsage(200 - 2 * limits.MIN_CALLERS_DIVISOR))
+        self.assertEqual(harness.closed, [1])
+        harness.submit(s.Accepted(4))
+        self.assertEqual(harness.closed, [1, 2])
+        harness.submit(s.OtherProcessUsage(0))
+        harness.submit(s.Accepted(5))
+        self.assertEqual(harness.closed, [1, 2])
 
 
 class InheritedCalls(unittest.TestCase):
     """Calls that stand in the replaced process when it exits pass to its successor."""
 
     def test_the_replaced_process_hands_over_its_standing_calls(self) -> None:
-        desk = Desk()
-        desk.stand(5)
-        desk.do(s.SuccessorChanged(True))
-        desk.do(s.Terminate())
-        desk.pass_time(4 * SECOND)
-        self.assertTrue(desk.ended)
-        self.assertEqual(desk.bequeathed, ((5, 101),))
+        harness = SessionHarness()
+        harness.establish_call(5)
+        harness.submit(s.SuccessorChanged(True))
+        harness.submit(s.Terminate())
+        harness.pass_time(4 * SECOND)
+        self.assertTrue(harness.exited)
+        self.assertEqual(harness.handed_over_calls, ((5, 101),))
 
     def test_the_successor_counts_inherited_calls_and_forwards_their_ends(self) -> None:
         for by_exchange in (True, False):
-            desk = Desk()
-            desk.stand(6, to=2)
-            desk.do(s.OtherProcessUsage(30, calls=4))
-            self.assertEqual(desk.figure("outstanding"), 5)
-            desk.do(s.CallInherited(5, 101))
-            desk.do(s.CallInherited(7, 999))  # an exchange that is no longer listed
-            desk.do(s.OtherProcessUsage(0))
-            self.assertEqual(desk.figure("outstanding"), 2)
+            harness = SessionHarness()
+            harness.establish_call(6, to=2)
+            harness.submit(s.OtherProcessUsage(30, calls=4))
+            self.assertEqual(harness.figure("outstanding"), 5)
+            harness.submit(s.CallInherited(5, 101))
+            harness.submit(s.CallInherited(7, 999))  # an exchange that is no longer listed
+            harness.submit(s.OtherProcessUsage(0))
+            self.assertEqual(harness.figure("outstanding"), 2)
             release = p.Release(5, p.ReleaseCause.NORMAL)
             if by_exchange:
-                self.assertIn((1, release), desk.hear(desk.link[1], release))
+                self.assertIn((1, release), harness.deliver(harness.first_links[1], release))
             else:
-                written = desk.hear(1, release)
+                written = harness.deliver(1, release)
                 self.assertIn((1, p.ReleaseConfirmed(5)), written)
-                self.assertIn((desk.link[1], release), written)
-            self.assertEqual(desk.figure("outstanding"), 1)
-            self.assertNotIn("errors", desk.session.figures())
+                self.assertIn((harness.first_links[1], release), written)
+            self.assertEqual(harness.figure("outstanding"), 1)
+            self.assertNotIn("errors", harness.session.figures())
 
     def test_a_release_for_a_call_of_the_other_process_is_forwarded(self) -> None:
-        desk = Desk()
+        harness = SessionHarness()
         release = p.Release(5, p.ReleaseCause.NORMAL)
-        desk.do(s.OtherProcessUsage(30, calls=1))
-        effects = desk.session.step(desk.now, s.MessageReceived(1, release))
+        harness.submit(s.OtherProcessUsage(30, calls=1))
+        effects = harness.session.step(harness.now, s.MessageReceived(1, release))
         self.assertIn(s.ForwardRelease(5, release.cause), effects)
-        desk.stand(8)
-        written = desk.do(s.ReleaseForwarded(8, release.cause))
-        self.assertIn((desk.link[1], p.Release(8, release.cause)), written)
-        self.assertEqual(desk.do(s.ReleaseForwarded(9, release.cause)), [])
+        harness.establish_call(8)
+        written = harness.submit(s.ReleaseForwarded(8, release.cause))
+        self.assertIn((harness.first_links[1], p.Release(8, release.cause)), written)
+        self.assertEqual(harness.submit(s.ReleaseForwarded(9, release.cause)), [])
 
 
 class HandoverMessages(unittest.TestCase):
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -11,7 +11,7 @@
 from latchturn.session import limits
 from latchturn.session.trace import TraceEvent
 
-from .helpers import SECOND, Desk, group_state, listed, set_up
+from .helpers import SECOND, SessionHarness, exchange_record, group_state, set_up
 
 END = p.Release(5, p.ReleaseCause.TEMPORARY_FAILURE)
 NOTIFY_LIMIT_US = 8 * SECOND  # to notify the caller, from the end of a call that its exchange cannot report
@@ -22,9 +22,9 @@
     """Call 5 stands at exchange 1, which sends nothing any more."""
 
     def setUp(self) -> None:
-        self.desk = Desk()
-        self.desk.stand(5)
-        self.start_us = self.desk.now
+        self.harness = SessionHarness()
+        self.harness.establish_call(5)
+        self.start_us = self.harness.now
 
     def notified_after_us(
         self, connects: s.Connected | None = None, attempts: bool = False, refused: bool = False
@@ -34,27 +34,27 @@
         All links that are opened to exchange 1 come up without a message, or are refused, or time out; with `attempts`,
         further calls are set up there.
         """
-        desk, done, call = self.desk, len(self.desk.connects), 100
-        while desk.now < self.start_us + 12 * SECOND:
-            written = desk.pass_time(50_000)
-            if attempts and desk.now % 500_000 < 50_000:
+        harness, done, call = self.harness, len(self.harness.connects), 100
+        while harness.now < self.start_us + 12 * SECOND:
+            written = harness.pass_time(50_000)
+            if attempts and harness.now % 500_000 < 50_000:
                 call += 1
-                written += desk.hear(1, set_up(call))
-            for asked in desk.connects[done:]:
+                written += harness.deliver(1, set_up(call))
+            for asked in harness.connects[done:]:
                 stream = asked.stream
-                if self.desk.session.links.by_stream[stream].exchange_id == 102:
-                    desk.do(s.Connected(stream))
-                    desk.hear(stream, group_state(20))
+                if self.harness.session.links.by_stream[stream].exchange_id == 102:
+                    harness.submit(s.Connected(stream))
+                    harness.deliver(stream, group_state(20))
                 elif connects is not None:
-                    desk.do(s.Connected(stream))
-                elif asked.timeout_us and desk.now % 500_000 < 50_000:
-                    written += desk.do(s.ConnectFailed(stream, refused))
+                    harness.submit(s.Connected(stream))
+                elif asked.timeout_us and harness.now % 500_000 < 50_000:
+                    written += harness.submit(s.ConnectFailed(stream, refused))
                 else:
                     break
                 done += 1
-            self.desk.hear(desk.second[2], group_state(desk.now // 50_000 % 20))
+            self.harness.deliver(harness.second_links[2], group_state(harness.now // 50_000 % 20))
             if (1, END) in written:
-                return desk.now - self.start_us
+                return harness.now - self.start_us
         return -1
 
     def test_open_links_without_messages_are_no_proof_of_life(self) -> None:
@@ -68,9 +68,9 @@
                 self.assertTrue(MIN_SILENCE_US < notified_us < NOTIFY_LIMIT_US, f"{connects} {attempts}: {notified_us}")
 
     def test_lost_links_are_no_proof_of_life(self) -> None:
-        for stream in (self.desk.link[1], self.desk.second[1]):
-            self.desk.pass_time(2 * SECOND)
-            self.desk.do(s.EndOfInput(stream))
+        for stream in (self.harness.first_links[1], self.harness.second_links[1]):
+            self.harness.pass_time(2 * SECOND)
+            self.harness.submit(s.EndOfInput(stream))
         self.assertTrue(MIN_SILENCE_US < self.notified_after_us() < NOTIFY_LIMIT_US)
 
     def test_a_silent_exchange_that_refuses_links_counts_as_dead(self) -> None:
@@ -78,18 +78,20 @@
         self.assertTrue(limits.PROBE_AFTER_US <= notified_us < NOTIFY_LIMIT_US, notified_us)
 
     def test_the_silence_limit_counts_from_the_last_message_for_a_call_answered_earlier(self) -> None:
-        desk = self.desk
-        desk.pass_time_in_touch(3 * SECOND)
-        self.start_us = desk.now
+        harness = self.harness
+        harness.pass_time_with_reports(3 * SECOND)
+        self.start_us = harness.now
         self.assertTrue(MIN_SILENCE_US < self.notified_after_us() < NOTIFY_LIMIT_US)
 
     def test_a_call_that_is_ended_here_is_released_at_its_exchange_once_a_link_is_up(self) -> None:
-        desk = self.desk
+        harness = self.harness
         self.notified_after_us()
-        desk.pass_time(5 * SECOND)
-        waiting = [c.stream for c in desk.connects if c.stream in desk.session.links.by_stream]
-        waiting = [k for k in waiting if desk.session.links.by_stream[k].exchange_id == 101]
-        written = [m for k in waiting if not desk.session.links.by_stream[k].up for m in desk.do(s.Connected(k))]
+        harness.pass_time(5 * SECOND)
+        waiting = [c.stream for c in harness.connects if c.stream in harness.session.links.by_stream]
+        waiting = [k for k in waiting if harness.session.links.by_stream[k].exchange_id == 101]
+        written = [
+            m for k in waiting if not harness.session.links.by_stream[k].up for m in harness.submit(s.Connected(k))
+        ]
         self.assertIn(p.Release(5, p.ReleaseCause.NORMAL), [message for _, message in written])
 
 
@@ -97,131 +99,133 @@
     """Call 5 stands at exchange 1 and goes on."""
 
     def setUp(self) -> None:
-        self.desk = Desk()
-        self.desk.stand(5)
+        self.harness = SessionHarness()
+        self.harness.establish_call(5)
 
     def stands(self) -> bool:
-        return 5 in self.desk.session.calls.by_id
+        return 5 in self.harness.session.calls.by_id
 
     def test_a_quiet_exchange_that_answers_probes_keeps_its_calls(self) -> None:
-        desk, done = self.desk, len(self.desk.connects)
+        harness, done = self.harness, len(self.harness.connects)
         for _ in range(400):
-            desk.pass_time(50_000)
-            for asked in desk.connects[done:]:
-                desk.do(s.Connected(asked.stream))
-                desk.hear(asked.stream, group_state(12))
-            done = len(desk.connects)
+            harness.pass_time(50_000)
+            for asked in harness.connects[done:]:
+                harness.submit(s.Connected(asked.stream))
+                harness.deliver(asked.stream, group_state(12))
+            done = len(harness.connects)
         self.assertTrue(self.stands())
-        quiet = [r for r in desk.session.core.trace.records if r.event is TraceEvent.EXCHANGE_QUIET]
+        quiet = [r for r in harness.session.core.trace.records if r.event is TraceEvent.EXCHANGE_QUIET]
         self.assertGreaterEqual(len([r for r in quiet if r.exchange == 101]), 3)
 
     def test_a_busy_exchange_is_not_probed(self) -> None:
-        connects = len(self.desk.connects)
-        self.desk.pass_time_in_touch(20 * SECOND)
-        self.assertEqual((len(self.desk.connects), self.stands()), (connects, True))
+        connects = len(self.harness.connects)
+        self.harness.pass_time_with_reports(20 * SECOND)
+        self.assertEqual((len(self.harness.connects), self.stands()), (connects, True))
 
     def test_calls_go_on_after_an_outage_if_a_link_from_before_delivers_a_message(self) -> None:
-        desk = self.desk
-        desk.pass_time(limits.PROBE_AFTER_US + limits.SWEEP_INTERVAL_US)
-        desk.do(s.ConnectFailed(desk.connects[-1].stream, False))
-        desk.pass_time(SECOND)
-        old_link = desk.link[1]
-        new = desk.connects[-1].stream
-        desk.do(s.Connected(new))
-        desk.hear(new, group_state(7))
-        desk.hear(old_link, group_state(7))
-        desk.pass_time_in_touch(10 * SECOND)
+        harness = self.harness
+        harness.pass_time(limits.PROBE_AFTER_US + limits.SWEEP_INTERVAL_US)
+        harness.submit(s.ConnectFailed(harness.connects[-1].stream, False))
+        harness.pass_time(SECOND)
+        old_link = harness.first_links[1]
+        new = harness.connects[-1].stream
+        harness.submit(s.Connected(new))
+        harness.deliver(new, group_state(7))
+        harness.deliver(old_link, group_state(7))
+        harness.pass_time_with_reports(10 * SECOND)
         self.assertTrue(self.stands())
 
     def test_a_connect_is_proof_of_life_for_an_exchange_without_group_states(self) -> None:
-        desk = self.desk
-        desk.session.exchanges.by_id[101].sends_group_states = False
-        done = len(desk.connects)
+        harness = self.harness
+        harness.session.exchanges.by_id[101].sends_group_states = False
+        done = len(harness.connects)
         for _ in range(400):
-            desk.pass_time(50_000)
-            for asked in desk.connects[done:]:
-                desk.do(s.Connected(asked.stream))
-            done = len(desk.connects)
+            harness.pass_time(50_000)
+            for asked in harness.connects[done:]:
+                harness.submit(s.Connected(asked.stream))
+            done = len(harness.connects)
         self.assertTrue(self.stands())
 
     def test_a_draining_exchange_may_end_some_links_and_send_on_others(self) -> None:
-        desk = self.desk
-        desk.do(s.ListUpdateReceived(p.ListUpdate(2, i.ListKind.CHANGES, (listed(1, state=i.ListState.DRAINING),))))
-        desk.do(s.EndOfInput(desk.link[1]))
-        desk.do(s.ConnectFailed(desk.connects[-1].stream, True))
+        harness = self.harness
+        harness.submit(
+            s.ListUpdateReceived(p.ListUpdate(2, i.ListKind.CHANGES, (exchange_record(1, state=i.ListState.DRAINING),)))
+        )
+        harness.submit(s.EndOfInput(harness.first_links[1]))
+        harness.submit(s.ConnectFailed(harness.connects[-1].stream, True))
         for k in range(40):
-            desk.pass_time(SECOND // 4)
-            desk.hear(desk.second[1], group_state(k % 9))
+            harness.pass_time(SECOND // 4)
+            harness.deliver(harness.second_links[1], group_state(k % 9))
         self.assertTrue(self.stands())
 
     def test_ends_that_may_be_lost_on_a_closed_link_are_received_on_a_recovery_link(self) -> None:
-        desk = self.desk
-        desk.do(s.PartialMessage(desk.link[1], True))
-        desk.pass_time(limits.LINK_PARTIAL_TIMEOUT_US)
-        self.assertEqual(desk.closed, [desk.link[1]])
-        desk.do(s.Connected(desk.connects[-1].stream))
-        desk.hear(desk.connects[-1].stream, group_state(3))
-        connects = len(desk.connects)
-        desk.pass_time_in_touch(SECOND // 2)
-        self.assertEqual(len(desk.connects), connects + 1)  # besides the one that replaced the closed link
-        desk.do(s.Connected(desk.connects[-1].stream))
-        desk.hear(desk.connects[-1].stream, group_state(3))  # the first thing sent on each new link
-        desk.pass_time_in_touch(4 * SECOND)
-        self.assertEqual(len(desk.connects), connects + 1)
-        desk.pass_time_in_touch(SECOND)
+        harness = self.harness
+        harness.submit(s.PartialMessage(harness.first_links[1], True))
+        harness.pass_time(limits.LINK_PARTIAL_TIMEOUT_US)
+        self.assertEqual(harness.closed, [harness.first_links[1]])
+        harness.submit(s.Connected(harness.connects[-1].stream))
+        harness.deliver(harness.connects[-1].stream, group_state(3))
+        connects = len(harness.connects)
+        harness.pass_time_with_reports(SECOND // 2)
+        self.assertEqual(len(harness.connects), connects + 1)  # besides the one that replaced the closed link
+        harness.submit(s.Connected(harness.connects[-1].stream))
+        harness.deliver(harness.connects[-1].stream, group_state(3))  # the first thing sent on each new link
+        harness.pass_time_with_reports(4 * SECOND)
+        self.assertEqual(len(harness.connects), connects + 1)
+        harness.pass_time_with_reports(SECOND)
         self.assertEqual(
-            len(desk.connects), connects + 2
+            len(harness.connects), connects + 2
         )  # a further one each RECOVERY_INTERVAL_US while the call stands
-        desk.do(s.Connected(desk.connects[-1].stream))
-        desk.hear(desk.connects[-1].stream, p.Release(5, p.ReleaseCause.NORMAL))
+        harness.submit(s.Connected(harness.connects[-1].stream))
+        harness.deliver(harness.connects[-1].stream, p.Release(5, p.ReleaseCause.NORMAL))
         self.assertFalse(self.stands())
-        desk.pass_time_in_touch(12 * SECOND)
-        self.assertEqual(len(desk.connects), connects + 2)
+        harness.pass_time_with_reports(12 * SECOND)
+        self.assertEqual(len(harness.connects), connects + 2)
 
     def test_recovery_links_do_not_close_links_and_so_cause_more_recovery_links(self) -> None:
         # Without this rule, links were closed four times a second in a long run, each to make room for the next one.
-        desk = self.desk
+        harness = self.harness
         for k in range(3):
-            desk.stand(10 + k)
-        desk.do(s.PartialMessage(desk.link[1], True))
-        connects, done = len(desk.connects), len(desk.connects)
+            harness.establish_call(10 + k)
+        harness.submit(s.PartialMessage(harness.first_links[1], True))
+        connects, done = len(harness.connects), len(harness.connects)
         for _ in range(60):
-            desk.pass_time_in_touch(SECOND // 4, SECOND // 4)
-            for asked in desk.connects[done:]:
-                desk.do(s.Connected(asked.stream))
-                desk.hear(asked.stream, group_state(3))
-            done = len(desk.connects)
+            harness.pass_time_with_reports(SECOND // 4, SECOND // 4)
+            for asked in harness.connects[done:]:
+                harness.submit(s.Connected(asked.stream))
+                harness.deliver(asked.stream, group_state(3))
+            done = len(harness.connects)
         self.assertLessEqual(done - connects, 5)  # in 15 s: the replacement of the closed link, and one each 5 s
 
     def test_a_link_that_receives_each_group_state_a_little_later_is_not_closed(self) -> None:
-        desk = self.desk
-        first, second = desk.link[1], desk.second[1]
-        desk.hear(first, group_state(5))
-        desk.hear(second, group_state(5))
-        desk.pass_time(2 * SECOND - 1)
-        desk.hear(second, group_state(6))
-        desk.pass_time(2)  # a sweep runs between the two
-        desk.hear(first, group_state(6))
-        self.assertEqual(desk.closed, [])
+        harness = self.harness
+        first, second = harness.first_links[1], harness.second_links[1]
+        harness.deliver(first, group_state(5))
+        harness.deliver(second, group_state(5))
+        harness.pass_time(2 * SECOND - 1)
+        harness.deliver(second, group_state(6))
+        harness.pass_time(2)  # a sweep runs between the two
+        harness.deliver(first, group_state(6))
+        self.assertEqual(harness.closed, [])
 
     def test_the_first_group_state_on_a_new_link_is_not_expected_on_the_others(self) -> None:
-        desk = self.desk
-        desk.do(s.ConnectionClosed(desk.second[1]))
-        new = desk.connects[-1].stream
-        desk.do(s.Connected(new))
-        desk.hear(new, group_state(6))
-        desk.pass_time(SECOND)
-        desk.hear(new, p.Progress(5))
-        desk.pass_time(limits.SWEEP_INTERVAL_US)
-        self.assertEqual(desk.closed, [])
+        harness = self.harness
+        harness.submit(s.ConnectionClosed(harness.second_links[1]))
+        new = harness.connects[-1].stream
+        harness.submit(s.Connected(new))
+        harness.deliver(new, group_state(6))
+        harness.pass_time(SECOND)
+        harness.deliver(new, p.Progress(5))
+        harness.pass_time(limits.SWEEP_INTERVAL_US)
+        self.assertEqual(harness.closed, [])
 
     def test_a_hung_exchange_keeps_its_links_though_set_ups_time_out_on_them(self) -> None:
-        desk = self.desk
+        harness = self.harness
         for call in range(20, 26):
-            desk.hear(1, set_up(call))
-            desk.pass_time(700_000)
-        self.assertLessEqual({desk.link[1], desk.second[1]}, set(desk.session.links.by_stream))
-        desk.hear(desk.link[1], p.Release(5, p.ReleaseCause.NORMAL))
+            harness.deliver(1, set_up(call))
+            harness.pass_time(700_000)
+        self.assertLessEqual({harness.first_links[1], harness.second_links[1]}, set(harness.session.links.by_stream))
+        harness.deliver(harness.first_links[1], p.Release(5, p.ReleaseCause.NORMAL))
         self.assertFalse(self.stands())
 
 
@@ -229,33 +233,33 @@
     """Another process takes over the address of exchange 1, and discovery does not report it."""
 
     def setUp(self) -> None:
-        self.desk = Desk()
-        self.desk.stand(5)
-        self.old = (self.desk.link[1], self.desk.second[1])
+        self.harness = SessionHarness()
+        self.harness.establish_call(5)
+        self.old = (self.harness.first_links[1], self.harness.second_links[1])
 
     def test_a_reset_of_all_links_in_use_ends_the_calls_though_connects_succeed(self) -> None:
-        desk = self.desk
-        written = [message for stream in self.old for message in desk.do(s.ConnectionClosed(stream))]
+        harness = self.harness
+        written = [message for stream in self.old for message in harness.submit(s.ConnectionClosed(stream))]
         self.assertIn((1, END), written)
 
     def reset_all_after_silence(self) -> None:
         """Reset all links some time after the last message; the process behind the new links sends at once."""
-        self.start_us = self.desk.now
-        self.desk.pass_time(2 * SECOND)
+        self.start_us = self.harness.now
+        self.harness.pass_time(2 * SECOND)
         for stream in self.old:
-            self.desk.do(s.ConnectionClosed(stream))
+            self.harness.submit(s.ConnectionClosed(stream))
         self.bring_up_links()
 
     def bring_up_links(self) -> None:
-        for stream, link in list(self.desk.session.links.by_stream.items()):
+        for stream, link in list(self.harness.session.links.by_stream.items()):
             if not link.up_since_us:
-                self.desk.do(s.Connected(stream))
-                self.desk.hear(stream, group_state(9))
+                self.harness.submit(s.Connected(stream))
+                self.harness.deliver(stream, group_state(9))
 
     def pass_time_with_new_links(self, until_us: int) -> list[tuple[int, p.Message]]:
         written: list[tuple[int, p.Message]] = []
-        while self.desk.now < until_us:
-            written += self.desk.pass_time_in_touch(SECOND // 10, SECOND // 10)
+        while self.harness.now < until_us:
+            written += self.harness.pass_time_with_reports(SECOND // 10, SECOND // 10)
             self.bring_up_links()
         return written
 
@@ -263,53 +267,53 @@
         self,
     ) -> None:
         # Soak seed 25: a machine vanished, and another one had its address before any connect had failed.
-        desk = self.desk
+        harness = self.harness
         self.reset_all_after_silence()
-        (stream, _), *_ = desk.hear(1, set_up(6))
-        desk.hear(stream, p.Answer(6, b"yes"))
+        (stream, _), *_ = harness.deliver(1, set_up(6))
+        harness.deliver(stream, p.Answer(6, b"yes"))
         self.assertIn((1, END), self.pass_time_with_new_links(self.start_us + NOTIFY_LIMIT_US))
         self.pass_time_with_new_links(self.start_us + 3 * NOTIFY_LIMIT_US)
-        self.assertIn(6, desk.session.calls.by_id)  # it stands at the new process
+        self.assertIn(6, harness.session.calls.by_id)  # it stands at the new process
 
     def test_a_reported_end_of_an_earlier_call_shows_that_the_process_is_the_same(self) -> None:
-        desk = self.desk
-        desk.stand(7)
+        harness = self.harness
+        harness.establish_call(7)
         self.reset_all_after_silence()
-        new = next(k for k, link in desk.session.links.by_stream.items() if link.exchange_id == 101)
-        desk.hear(new, p.Release(7, p.ReleaseCause.NORMAL))
+        new = next(k for k, link in harness.session.links.by_stream.items() if link.exchange_id == 101)
+        harness.deliver(new, p.Release(7, p.ReleaseCause.NORMAL))
         self.pass_time_with_new_links(self.start_us + 3 * NOTIFY_LIMIT_US)
-        self.assertIn(5, desk.session.calls.by_id)
+        self.assertIn(5, harness.session.calls.by_id)
 
     def test_resets_of_single_links_end_no_call(self) -> None:
-        desk = self.desk
-        desk.do(s.ConnectionClosed(self.old[0]))
-        desk.do(s.Connected(desk.connects[-1].stream))
-        desk.do(s.ConnectionClosed(self.old[1]))
-        self.assertIn(5, desk.session.calls.by_id)
+        harness = self.harness
+        harness.submit(s.ConnectionClosed(self.old[0]))
+        harness.submit(s.Connected(harness.connects[-1].stream))
+        harness.submit(s.ConnectionClosed(self.old[1]))
+        self.assertIn(5, harness.session.calls.by_id)
 
     def new_link_after_outage(self) -> list[tuple[int, p.Message]]:
         """Let connects fail for a time, then bring up a new link and receive a message on it."""
-        desk = self.desk
-        desk.pass_time(limits.PROBE_AFTER_US + limits.SWEEP_INTERVAL_US)
-        desk.do(s.ConnectFailed(desk.connects[-1].stream, False))
-        desk.pass_time(limits.PROBE_INTERVAL_US + limits.SWEEP_INTERVAL_US)
-        self.new = desk.connects[-1].stream
-        return desk.do(s.Connected(self.new)) + desk.hear(self.new, group_state(40))
+        harness = self.harness
+        harness.pass_time(limits.PROBE_AFTER_US + limits.SWEEP_INTERVAL_US)
+        harness.submit(s.ConnectFailed(harness.connects[-1].stream, False))
+        harness.pass_time(limits.PROBE_INTERVAL_US + limits.SWEEP_INTERVAL_US)
+        self.new = harness.connects[-1].stream
+        return harness.submit(s.Connected(self.new)) + harness.deliver(self.new, group_state(40))
 
     def test_a_message_on_a_new_link_after_an_outage_ends_the_calls_once_no_old_link_is_left(self) -> None:
         written = self.new_link_after_outage()
         self.assertNotIn((1, END), written)
         for old_link in self.old:
-            self.desk.do(s.ConnectionClosed(old_link))
-        self.assertIn((1, END), self.desk.hear(self.new, group_state(39)))
+            self.harness.submit(s.ConnectionClosed(old_link))
+        self.assertIn((1, END), self.harness.deliver(self.new, group_state(39)))
 
     def test_the_calls_end_at_the_silence_limit_while_an_old_link_stays_silent(self) -> None:
         self.new_link_after_outage()
-        deadline = self.desk.session.calls.by_id[5].standing_since_us + 7 * SECOND
+        deadline = self.harness.session.calls.by_id[5].standing_since_us + 7 * SECOND
         written: list[tuple[int, p.Message]] = []
-        while self.desk.now < deadline and (1, END) not in written:
-            written += self.desk.pass_time(SECOND // 10)
-            written += self.desk.hear(self.new, group_state(self.desk.now // 100_000 % 30))
+        while self.harness.now < deadline and (1, END) not in written:
+            written += self.harness.pass_time(SECOND // 10)
+            written += self.harness.deliver(self.new, group_state(self.harness.now // 100_000 % 30))
         self.assertIn((1, END), written)
 
 
@@ -318,22 +322,22 @@
 
     def test_a_late_sweep_draws_no_conclusion_and_the_next_one_does(self) -> None:
         for received in (True, False):
-            desk = Desk()
-            desk.stand(5)
-            desk.pass_time(SECOND)
-            desk.now += 9 * SECOND
-            written = desk.do(s.Tick())
+            harness = SessionHarness()
+            harness.establish_call(5)
+            harness.pass_time(SECOND)
+            harness.now += 9 * SECOND
+            written = harness.submit(s.Tick())
             self.assertNotIn((1, END), written)
             if received:
-                desk.hear(desk.link[1], group_state(7))
-            written = desk.pass_time(2 * limits.SWEEP_INTERVAL_US)
+                harness.deliver(harness.first_links[1], group_state(7))
+            written = harness.pass_time(2 * limits.SWEEP_INTERVAL_US)
             self.assertEqual((1, END) in written, not received)
 
     def test_sweeps_that_are_always_late_still_draw_conclusions(self) -> None:
-        desk = Desk()
-        desk.stand(5)
+        harness = SessionHarness()
+        harness.establish_call(5)
         written: list[tuple[int, p.Message]] = []
         for _ in range(8):
-            desk.now += SECOND
-            written += desk.do(s.Tick())
+            harness.now += SECOND
+            written += harness.submit(s.Tick())
         self.assertIn((1, END), written)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -14,7 +14,7 @@
 from latchturn.net import unread_bytes
 from latchturn.session import limits
 
-from .helpers import SECOND, Desk, Program, set_up
+from .helpers import SECOND, Program, SessionHarness, set_up
 
 C = o.Command
 
@@ -38,134 +38,134 @@
 
 class Figures(unittest.TestCase):
     def test_each_end_of_a_request_counts_once_for_its_class(self) -> None:
-        desk = Desk()
-        zeroes = {name: desk.figure(f"{name}.premium_quote") for name in o.CLASS_FIGURES}
+        harness = SessionHarness()
+        zeroes = {name: harness.figure(f"{name}.premium_quote") for name in o.CLASS_FIGURES}
         self.assertEqual(zeroes, {"succeeded": 0, "declined": 0, "aborted": 0})
-        self.assertEqual((desk.figure("discovered"), desk.figure("ejected")), (3, 0))
-        desk.stand(1)
-        desk.hear(1, set_up(2))
-        self.assertEqual(desk.figure("outstanding"), 2)  # one of them stands: it has not ended
-        desk.hear(1, set_up(2))  # the same id again: which is meant cannot be told, it fails
-        desk.hear(1, set_up(3, to=9))  # no such exchange: refused
-        self.assertEqual(desk.figure("outstanding"), 1)
-        self.assertEqual([desk.figure(f"{name}.premium_quote") for name in o.CLASS_FIGURES], [1, 1, 1])
+        self.assertEqual((harness.figure("discovered"), harness.figure("ejected")), (3, 0))
+        harness.establish_call(1)
+        harness.deliver(1, set_up(2))
+        self.assertEqual(harness.figure("outstanding"), 2)  # one of them stands: it has not ended
+        harness.deliver(1, set_up(2))  # the same id again: which is meant cannot be told, it fails
+        harness.deliver(1, set_up(3, to=9))  # no such exchange: refused
+        self.assertEqual(harness.figure("outstanding"), 1)
+        self.assertEqual([harness.figure(f"{name}.premium_quote") for name in o.CLASS_FIGURES], [1, 1, 1])
 
     def test_an_attempt_counts_once_it_has_left_whole(self) -> None:
-        desk = Desk()
-        link = desk.link[1]
-        desk.hold.add(link)
-        desk.hear(1, set_up(1))
-        self.assertEqual(desk.figure("forwards"), 0)
-        desk.do(s.WriteCompleted(link))
-        self.assertEqual(desk.figure("forwards"), 1)
+        harness = SessionHarness()
+        link = harness.first_links[1]
+        harness.stalled_streams.add(link)
+        harness.deliver(1, set_up(1))
+        self.assertEqual(harness.figure("forwards"), 0)
+        harness.submit(s.WriteCompleted(link))
+        self.assertEqual(harness.figure("forwards"), 1)
 
     def test_a_silent_exchange_is_told_as_avoided(self) -> None:
-        desk = Desk(far=1)
+        harness = SessionHarness(remote_exchanges=1)
         for call in (1, 2):
-            desk.hear(1, set_up(call, wait_ms=300))
-        desk.pass_time(500_000)
-        self.assertEqual(desk.figure("ejected"), 1)
+            harness.deliver(1, set_up(call, wait_ms=300))
+        harness.pass_time(500_000)
+        self.assertEqual(harness.figure("ejected"), 1)
 
     def test_info_is_the_live_registry(self) -> None:
-        desk = Desk()
-        desk.do(s.ConfigRejected("it is empty"))
-        lines = desk.ask(C.INFO).splitlines()
+        harness = SessionHarness()
+        harness.submit(s.ConfigRejected("it is empty"))
+        lines = harness.ask_admin(C.INFO).splitlines()
         self.assertEqual((lines[0], lines[-1]), ("OK serving", "END"))
         self.assertIn("edge_gw.sighup_rejected:1|c", lines)
         self.assertIn("edge_gw.sighup_applied:0|c", lines)
-        self.assertTrue(desk.ask(None).startswith("ERR "))
+        self.assertTrue(harness.ask_admin(None).startswith("ERR "))
 
 
 class Readiness(unittest.TestCase):
     def test_ping_says_yes_once_groups_are_told_or_time_is_up(self) -> None:
-        desk = Desk()
-        self.assertEqual(desk.ask(C.PING), "OK serving\n")
-        session = s.Session(desk.session.classes.settings, 7, 1024)
-        session.step(desk.now, s.Started((p.ListUpdate(1, i.ListKind.FULL, ()),), 1, ("127.0.0.1", 9)))
+        harness = SessionHarness()
+        self.assertEqual(harness.ask_admin(C.PING), "OK serving\n")
+        session = s.Session(harness.session.classes.settings, 7, 1024)
+        session.step(harness.now, s.Started((p.ListUpdate(1, i.ListKind.FULL, ()),), 1, ("127.0.0.1", 9)))
         self.assertIs(session.phase, s.Phase.STARTING)  # nothing listens
-        desk.session.exchanges.by_id[102].sends_group_states = False
-        self.assertEqual(desk.ask(C.PING), "ERR starting\n")
-        self.assertEqual(desk.hear(1, p.HealthCheck(9)), [(1, p.HealthCheckResult(9, False))])
-        desk.pass_time(limits.READY_TIMEOUT_US)
-        self.assertEqual(desk.ask(C.PING), "OK serving\n")
+        harness.session.exchanges.by_id[102].sends_group_states = False
+        self.assertEqual(harness.ask_admin(C.PING), "ERR starting\n")
+        self.assertEqual(harness.deliver(1, p.HealthCheck(9)), [(1, p.HealthCheckResult(9, False))])
+        harness.pass_time(limits.READY_TIMEOUT_US)
+        self.assertEqual(harness.ask_admin(C.PING), "OK serving\n")
 
 
 class Drain(unittest.TestCase):
     def setUp(self) -> None:
-        self.desk = Desk()
+        self.harness = SessionHarness()
         for stream in (2, 3):
-            self.desk.do(s.Accepted(stream))
-        self.desk.pass_time(SECOND)
+            self.harness.submit(s.Accepted(stream))
+        self.harness.pass_time(SECOND)
 
     def test_idle_connections_close_once_new_ones_have_ceased_and_busy_ones_when_answered(self) -> None:
-        desk = self.desk
-        desk.hear(2, set_up(5))
-        self.assertEqual(desk.ask(C.LAMEDUCK), "OK draining\n")
-        self.assertEqual(desk.ask(C.PING), "ERR draining\n")
-        self.assertEqual(desk.hear(1, p.HealthCheck(9)), [(1, p.HealthCheckResult(9, False))])
-        desk.do(s.Accepted(4))
-        desk.pass_time(limits.DRAIN_MIN_OPEN_US - 1)
-        self.assertEqual(desk.closed, [])
-        desk.do(s.Accepted(6))
-        desk.hear(1, set_up(6))  # still taken
-        self.assertEqual(len(desk.session.calls.by_id), 2)
-        desk.pass_time(limits.DRAIN_INTERVAL_US)
-        self.assertEqual(sorted(desk.closed), [3, 4])  # 6 may be about to speak
-        desk.hear(desk.link[1], p.Answer(5, b"yes"))
-        desk.pass_time(limits.DRAIN_INTERVAL_US)
-        self.assertEqual(sorted(desk.closed), [3, 4])  # its end is owed to its caller, who has no other way
-        desk.hear(desk.link[1], p.Release(5, p.ReleaseCause.NORMAL))
-        desk.pass_time(limits.DRAIN_INTERVAL_US)
-        self.assertEqual(sorted(desk.closed), [2, 3, 4])
+        harness = self.harness
+        harness.deliver(2, set_up(5))
+        self.assertEqual(harness.ask_admin(C.LAMEDUCK), "OK draining\n")
+        self.assertEqual(harness.ask_admin(C.PING), "ERR draining\n")
+        self.assertEqual(harness.deliver(1, p.HealthCheck(9)), [(1, p.HealthCheckResult(9, False))])
+        harness.submit(s.Accepted(4))
+        harness.pass_time(limits.DRAIN_MIN_OPEN_US - 1)
+        self.assertEqual(harness.closed, [])
+        harness.submit(s.Accepted(6))
+        harness.deliver(1, set_up(6))  # still taken
+        self.assertEqual(len(harness.session.calls.by_id), 2)
+        harness.pass_time(limits.DRAIN_INTERVAL_US)
+        self.assertEqual(sorted(harness.closed), [3, 4])  # 6 may be about to speak
+        harness.deliver(harness.first_links[1], p.Answer(5, b"yes"))
+        harness.pass_time(limits.DRAIN_INTERVAL_US)
+        self.assertEqual(sorted(harness.closed), [3, 4])  # its end is owed to its caller, who has no other way
+        harness.deliver(harness.first_links[1], p.Release(5, p.ReleaseCause.NORMAL))
+        harness.pass_time(limits.DRAIN_INTERVAL_US)
+        self.assertEqual(sorted(harness.closed), [2, 3, 4])
 
     def test_where_a_call_stands_the_connection_stays_until_its_end_is_told_and_set_ups_on_it_are_refused(self) -> None:
         for asked_us in (2 * SECOND, 6 * SECOND):
-            desk = Desk()
-            desk.stand(5)
-            desk.ask(C.LAMEDUCK)
-            desk.pass_time_in_touch(asked_us)
-            (refusal,) = [m for stream, m in desk.hear(1, set_up(6, to=2)) if stream == 1]
+            harness = SessionHarness()
+            harness.establish_call(5)
+            harness.ask_admin(C.LAMEDUCK)
+            harness.pass_time_with_reports(asked_us)
+            (refusal,) = [m for stream, m in harness.deliver(1, set_up(6, to=2)) if stream == 1]
             self.assertEqual((refusal.call, refusal.cause), (6, p.ReleaseCause.CONGESTION))
-            desk.pass_time_in_touch(9 * SECOND - asked_us)
-            self.assertEqual(desk.closed, [])
+            harness.pass_time_with_reports(9 * SECOND - asked_us)
+            self.assertEqual(harness.closed, [])
             end = p.Release(5, p.ReleaseCause.NORMAL)
-            self.assertIn((1, end), desk.hear(desk.link[1], end))
-            desk.pass_time(limits.DRAIN_INTERVAL_US)
-            self.assertEqual(desk.closed, [1])
+            self.assertIn((1, end), harness.deliver(harness.first_links[1], end))
+            harness.pass_time(limits.DRAIN_INTERVAL_US)
+            self.assertEqual(harness.closed, [1])
 
     def test_a_connection_that_is_never_idle_is_so_before_2_s(self) -> None:
-        desk = self.desk
-        desk.hear(1, set_up(5))
-        desk.ask(C.LAMEDUCK)
-        desk.pass_time(limits.DRAIN_REFUSE_US)
-        before = desk.figure("declined.premium_quote")
-        written = desk.hear(1, set_up(6))
+        harness = self.harness
+        harness.deliver(1, set_up(5))
+        harness.ask_admin(C.LAMEDUCK)
+        harness.pass_time(limits.DRAIN_REFUSE_US)
+        before = harness.figure("declined.premium_quote")
+        written = harness.deliver(1, set_up(6))
         refusal = p.Release(6, p.ReleaseCause.CONGESTION, retry_after_ms=limits.DRAIN_RETRY_AFTER_MS)
         self.assertEqual(written, [(1, refusal)])
-        self.assertEqual(desk.figure("declined.premium_quote"), before + 1)
+        self.assertEqual(harness.figure("declined.premium_quote"), before + 1)
 
     def test_what_stays_half_sent_is_closed_before_4_s(self) -> None:
-        desk = self.desk
-        desk.ask(C.LAMEDUCK)
-        desk.pass_time(SECOND * 19 // 10)
-        desk.do(s.Accepted(7))
-        desk.do(s.PartialMessage(7, True))
-        desk.pass_time(SECOND)
-        self.assertNotIn(7, desk.closed)
-        desk.pass_time(SECOND * 7 // 10)
-        self.assertIn(7, desk.closed)
+        harness = self.harness
+        harness.ask_admin(C.LAMEDUCK)
+        harness.pass_time(SECOND * 19 // 10)
+        harness.submit(s.Accepted(7))
+        harness.submit(s.PartialMessage(7, True))
+        harness.pass_time(SECOND)
+        self.assertNotIn(7, harness.closed)
+        harness.pass_time(SECOND * 7 // 10)
+        self.assertIn(7, harness.closed)
 
     def test_rejoin_ends_a_drain_and_sigterm_lets_none_begin_or_end(self) -> None:
-        desk = self.desk
-        desk.ask(C.LAMEDUCK)
-        self.assertEqual(desk.ask(C.REJOIN), "OK serving\n")
-        self.assertEqual(desk.hear(1, p.HealthCheck(9)), [(1, p.HealthCheckResult(9, True))])
-        desk.pass_time(SECOND)
-        self.assertEqual(desk.closed, [])
-        desk.ask(C.LAMEDUCK)
-        desk.do(s.Terminate())
+        harness = self.harness
+        harness.ask_admin(C.LAMEDUCK)
+        self.assertEqual(harness.ask_admin(C.REJOIN), "OK serving\n")
+        self.assertEqual(harness.deliver(1, p.HealthCheck(9)), [(1, p.HealthCheckResult(9, True))])
+        harness.pass_time(SECOND)
+        self.assertEqual(harness.closed, [])
+        harness.ask_admin(C.LAMEDUCK)
+        harness.submit(s.Terminate())
         for command in (C.PING, C.REJOIN, C.LAMEDUCK):
-            self.assertEqual(desk.ask(command), "ERR ending\n")
+            self.assertEqual(harness.ask_admin(command), "ERR ending\n")
 
     def test_on_sockets(self) -> None:
         with Program() as program:
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -10,7 +10,7 @@
 from latchturn import session as s
 from latchturn.session import limits
 
-from .helpers import SECOND, Desk, group_state, listed, set_up
+from .helpers import SECOND, SessionHarness, exchange_record, group_state, set_up
 
 GIVE_UP = p.ReleaseCause.NORMAL
 
@@ -22,125 +22,125 @@
 
 class Calls(unittest.TestCase):
     def setUp(self) -> None:
-        self.desk = Desk()
-        self.link = self.desk.link
+        self.harness = SessionHarness()
+        self.link = self.harness.first_links
 
     def test_a_call_stands_and_ends_on_any_connection(self) -> None:
-        desk = self.desk
-        self.assertEqual(sent(desk.hear(1, set_up(5)), p.SetUp), [self.link[1]])
+        harness = self.harness
+        self.assertEqual(sent(harness.deliver(1, set_up(5)), p.SetUp), [self.link[1]])
         answer = p.Answer(5, b"\0as it is")
-        self.assertEqual(desk.hear(self.link[1], answer), [(1, answer)])
-        desk.do(s.Accepted(2))
-        desk.do(s.ConnectionClosed(1))
-        desk.hear(2, set_up(6))
-        written = desk.hear(self.link[1], p.Release(5, GIVE_UP))
+        self.assertEqual(harness.deliver(self.link[1], answer), [(1, answer)])
+        harness.submit(s.Accepted(2))
+        harness.submit(s.ConnectionClosed(1))
+        harness.deliver(2, set_up(6))
+        written = harness.deliver(self.link[1], p.Release(5, GIVE_UP))
         self.assertIn((2, p.Release(5, GIVE_UP)), written)
-        desk.hear(2, p.Release(6, GIVE_UP))
-        self.assertEqual(desk.session.calls.by_id, {})
+        harness.deliver(2, p.Release(6, GIVE_UP))
+        self.assertEqual(harness.session.calls.by_id, {})
 
     def test_a_release_waits_for_a_connection_and_is_dropped_after_8_s(self) -> None:
         for wait_us, heard in ((7 * SECOND, True), (9 * SECOND, False)):
-            desk = Desk()
-            desk.stand(5)
-            desk.do(s.ConnectionClosed(1))
-            desk.hear(desk.link[1], p.Release(5, GIVE_UP))
-            desk.pass_time(wait_us)
-            desk.do(s.Accepted(2))
-            written = desk.pass_time(SECOND // 4)
+            harness = SessionHarness()
+            harness.establish_call(5)
+            harness.submit(s.ConnectionClosed(1))
+            harness.deliver(harness.first_links[1], p.Release(5, GIVE_UP))
+            harness.pass_time(wait_us)
+            harness.submit(s.Accepted(2))
+            written = harness.pass_time(SECOND // 4)
             self.assertEqual(written, [(2, p.Release(5, GIVE_UP))] if heard else [])
 
     def test_a_release_that_crosses_a_close_is_sent_again(self) -> None:
         for heard in (False, True):
-            desk = Desk()
-            desk.stand(5)
-            desk.do(s.Accepted(2))
-            desk.hear(desk.link[1], p.Release(5, GIVE_UP))
+            harness = SessionHarness()
+            harness.establish_call(5)
+            harness.submit(s.Accepted(2))
+            harness.deliver(harness.first_links[1], p.Release(5, GIVE_UP))
             if heard:
-                desk.hear(1, p.ReleaseConfirmed(5))
-            written = desk.do(s.ConnectionClosed(1)) + desk.pass_time(SECOND)
+                harness.deliver(1, p.ReleaseConfirmed(5))
+            written = harness.submit(s.ConnectionClosed(1)) + harness.pass_time(SECOND)
             self.assertEqual(written, [] if heard else [(2, p.Release(5, GIVE_UP))])
 
     def test_a_release_that_is_not_confirmed_goes_another_way_too(self) -> None:
         # Its connection may be open and nobody behind it listen.
         for confirmed in (False, True):
-            desk = Desk()
-            desk.stand(5)
-            desk.do(s.Accepted(2))
-            desk.hear(2, set_up(6, to=2))
-            desk.hear(desk.link[2], p.Answer(6, b"yes"))
-            written = desk.hear(desk.link[1], p.Release(5, GIVE_UP))
+            harness = SessionHarness()
+            harness.establish_call(5)
+            harness.submit(s.Accepted(2))
+            harness.deliver(2, set_up(6, to=2))
+            harness.deliver(harness.first_links[2], p.Answer(6, b"yes"))
+            written = harness.deliver(harness.first_links[1], p.Release(5, GIVE_UP))
             self.assertIn((1, p.Release(5, GIVE_UP)), written)
             if confirmed:
-                desk.hear(1, p.ReleaseConfirmed(5))
-            written = desk.pass_time(limits.CONFIRMATION_TIMEOUT_US + limits.SWEEP_INTERVAL_US)
+                harness.deliver(1, p.ReleaseConfirmed(5))
+            written = harness.pass_time(limits.CONFIRMATION_TIMEOUT_US + limits.SWEEP_INTERVAL_US)
             self.assertEqual(written, [] if confirmed else [(2, p.Release(5, GIVE_UP))])
-            desk.hear(2, p.ReleaseConfirmed(5))
-            self.assertEqual(desk.pass_time(SECOND), [])
+            harness.deliver(2, p.ReleaseConfirmed(5))
+            self.assertEqual(harness.pass_time(SECOND), [])
 
     def test_a_release_goes_to_a_caller_whose_calls_have_stood_not_to_a_stranger(self) -> None:
         # Strangers connect by the hundred and are the latest to have spoken; what they are told is lost.
-        desk = self.desk
-        desk.do(s.Accepted(2))
-        desk.hear(2, set_up(6, to=2))
-        desk.hear(self.link[2], p.Answer(6, b"yes"))
-        desk.stand(5)
+        harness = self.harness
+        harness.submit(s.Accepted(2))
+        harness.deliver(2, set_up(6, to=2))
+        harness.deliver(self.link[2], p.Answer(6, b"yes"))
+        harness.establish_call(5)
         for stranger in (3, 4):
-            desk.do(s.Accepted(stranger))
-        desk.hear(3, p.HealthCheck(1))
-        desk.hear(4, set_up(7, to=2))
-        desk.do(s.ConnectionClosed(1))
-        written = desk.hear(self.link[1], p.Release(5, GIVE_UP))
+            harness.submit(s.Accepted(stranger))
+        harness.deliver(3, p.HealthCheck(1))
+        harness.deliver(4, set_up(7, to=2))
+        harness.submit(s.ConnectionClosed(1))
+        written = harness.deliver(self.link[1], p.Release(5, GIVE_UP))
         self.assertIn((2, p.Release(5, GIVE_UP)), written)
 
     def test_a_release_whose_connections_close_one_after_another_is_held_for_no_better_one(self) -> None:
-        desk = self.desk
-        desk.stand(5)
+        harness = self.harness
+        harness.establish_call(5)
         for stream in (2, 3):
-            desk.do(s.Accepted(stream))
-        desk.hear(self.link[1], p.Release(5, GIVE_UP))
-        desk.do(s.ConnectionClosed(1))
-        desk.pass_time(limits.RELEASE_HOLD_US + limits.SWEEP_INTERVAL_US)
-        self.assertIn((2, p.Release(5, GIVE_UP)), desk.written)
-        self.assertEqual(desk.do(s.ConnectionClosed(2)), [(3, p.Release(5, GIVE_UP))])
+            harness.submit(s.Accepted(stream))
+        harness.deliver(self.link[1], p.Release(5, GIVE_UP))
+        harness.submit(s.ConnectionClosed(1))
+        harness.pass_time(limits.RELEASE_HOLD_US + limits.SWEEP_INTERVAL_US)
+        self.assertIn((2, p.Release(5, GIVE_UP)), harness.written)
+        self.assertEqual(harness.submit(s.ConnectionClosed(2)), [(3, p.Release(5, GIVE_UP))])
 
     def test_a_callers_release_reaches_the_exchange_even_over_a_new_link(self) -> None:
-        self.desk.stand(5)
-        self.desk.do(s.ConnectionClosed(self.link[1]))
-        self.desk.hear(1, p.Release(5, GIVE_UP))
-        other = self.desk.second[1]
-        self.assertIn((other, p.Release(5, GIVE_UP)), self.desk.written)
+        self.harness.establish_call(5)
+        self.harness.submit(s.ConnectionClosed(self.link[1]))
+        self.harness.deliver(1, p.Release(5, GIVE_UP))
+        other = self.harness.second_links[1]
+        self.assertIn((other, p.Release(5, GIVE_UP)), self.harness.written)
         # Nothing tells that it has arrived, so it goes over the next link too if this one is closed.
-        self.desk.do(s.ConnectionClosed(other))
-        again = self.desk.connects[-1].stream
-        self.assertEqual(self.desk.do(s.Connected(again)), [(again, p.Release(5, GIVE_UP))])
+        self.harness.submit(s.ConnectionClosed(other))
+        again = self.harness.connects[-1].stream
+        self.assertEqual(self.harness.submit(s.Connected(again)), [(again, p.Release(5, GIVE_UP))])
 
     def test_a_repeated_id_gets_one_answer(self) -> None:
         # Pending, then answered: whatever comes under the id, no second answer may.
         for answered in (False, True):
-            desk = Desk()
-            written = desk.hear(1, set_up(5))
+            harness = SessionHarness()
+            written = harness.deliver(1, set_up(5))
             if answered:
-                written += desk.hear(desk.link[1], p.Answer(5, b"yes"))
+                written += harness.deliver(harness.first_links[1], p.Answer(5, b"yes"))
             for repeat in (set_up(5), set_up(5, to=2), set_up(5, width=9)):
-                written += desk.hear(1, repeat)
-            written += desk.pass_time_in_touch(9 * SECOND)
+                written += harness.deliver(1, repeat)
+            written += harness.pass_time_with_reports(9 * SECOND)
             finals = [m for stream, m in written if stream == 1]
             self.assertEqual([type(m) for m in finals], [p.Answer if answered else p.Release])
 
     def test_an_impostor_is_closed_and_the_true_call_goes_on(self) -> None:
         for stands in (False, True):
-            desk = Desk()
-            desk.hear(1, set_up(5))
+            harness = SessionHarness()
+            harness.deliver(1, set_up(5))
             if stands:
-                desk.hear(desk.link[1], p.Answer(5, b"yes"))
-            desk.do(s.Accepted(2))
-            desk.hear(2, set_up(6, to=2))
-            written = desk.hear(2, set_up(5, to=2))
+                harness.deliver(harness.first_links[1], p.Answer(5, b"yes"))
+            harness.submit(s.Accepted(2))
+            harness.deliver(2, set_up(6, to=2))
+            written = harness.deliver(2, set_up(5, to=2))
             self.assertEqual([m.call for stream, m in written if stream == 2], [6])
-            self.assertIn(2, desk.closed)
+            self.assertIn(2, harness.closed)
             if not stands:
-                self.assertEqual(sent(desk.hear(desk.link[1], p.Answer(5, b"yes")), p.Answer), [1])
-            self.assertEqual(sent(desk.hear(desk.link[1], p.Release(5, GIVE_UP)), p.Release), [1])
+                self.assertEqual(sent(harness.deliver(harness.first_links[1], p.Answer(5, b"yes")), p.Answer), [1])
+            self.assertEqual(sent(harness.deliver(harness.first_links[1], p.Release(5, GIVE_UP)), p.Release), [1])
 
     def test_a_set_up_that_cannot_be_used_fails_at_once_and_reaches_no_exchange(self) -> None:
         good = set_up(5)
@@ -157,80 +157,82 @@
         for name, change in cases.items():
             with self.subTest(name):
                 bad = dataclasses.replace(good, **change)
-                written = Desk().hear(1, bad)
+                written = SessionHarness().deliver(1, bad)
                 self.assertEqual(written, [(1, p.Release(bad.call, p.ReleaseCause.INVALID_CONTENTS))])
         forms = ({"wait_ms": 9000}, {"called": "0123456789ABCDEF"}, {"figures": {"dest": 1, "width": 1}})
         for change in forms:
-            desk = Desk()
-            self.assertEqual(sent(desk.hear(1, dataclasses.replace(good, **change)), p.SetUp), [desk.link[1]])
+            harness = SessionHarness()
+            self.assertEqual(
+                sent(harness.deliver(1, dataclasses.replace(good, **change)), p.SetUp), [harness.first_links[1]]
+            )
 
     def test_a_caller_that_gives_up_frees_the_exchange_and_is_owed_nothing(self) -> None:
-        self.desk.hear(1, set_up(5))
+        self.harness.deliver(1, set_up(5))
         give_up = p.Release(5, GIVE_UP)
-        self.assertEqual(self.desk.hear(1, give_up), [(self.link[1], give_up)])
-        self.assertEqual(self.desk.pass_time(10 * SECOND), [])
+        self.assertEqual(self.harness.deliver(1, give_up), [(self.link[1], give_up)])
+        self.assertEqual(self.harness.pass_time(10 * SECOND), [])
 
     def test_a_caller_that_vanishes_has_its_set_ups_given_up(self) -> None:
-        self.desk.hear(1, set_up(5))
-        self.assertEqual(self.desk.do(s.ConnectionClosed(1)), [(self.link[1], p.Release(5, GIVE_UP))])
+        self.harness.deliver(1, set_up(5))
+        self.assertEqual(self.harness.submit(s.ConnectionClosed(1)), [(self.link[1], p.Release(5, GIVE_UP))])
 
     def test_a_caller_that_sends_no_more_still_gets_its_answer(self) -> None:
-        self.desk.hear(1, set_up(5))
-        self.desk.do(s.EndOfInput(1))
-        self.assertEqual(self.desk.closed, [])
+        self.harness.deliver(1, set_up(5))
+        self.harness.submit(s.EndOfInput(1))
+        self.assertEqual(self.harness.closed, [])
         answer = p.Answer(5, b"yes")
-        self.assertEqual(self.desk.hear(self.link[1], answer), [(1, answer)])
-        self.assertEqual(self.desk.closed, [1])
+        self.assertEqual(self.harness.deliver(self.link[1], answer), [(1, answer)])
+        self.assertEqual(self.harness.closed, [1])
 
     def test_a_fault_fails_its_call_alone(self) -> None:
-        self.desk.hear(1, set_up(4))
-        controller = self.desk.session.decision_module.controller
+        self.harness.deliver(1, set_up(4))
+        controller = self.harness.session.decision_module.controller
         handle, controller.handle = controller.handle, lambda *_: 1 / 0  # type: ignore[assignment]
-        written = self.desk.hear(1, set_up(5))
+        written = self.harness.deliver(1, set_up(5))
         controller.handle = handle  # type: ignore[method-assign]
         self.assertEqual(written, [(1, p.Release(5, p.ReleaseCause.TEMPORARY_FAILURE))])
-        self.assertEqual(len(self.desk.hear(self.link[1], p.Answer(4, b""))), 1)
-        self.assertGreater(self.desk.session.counters["errors"], 0)
+        self.assertEqual(len(self.harness.deliver(self.link[1], p.Answer(4, b""))), 1)
+        self.assertGreater(self.harness.session.counters["errors"], 0)
 
     def test_time_unread_comes_off_the_wait(self) -> None:
-        self.desk.session.decision_module.controller.handle = lambda *_: []  # type: ignore[method-assign]
-        self.desk.do(s.MessageReceived(1, set_up(5, wait_ms=1000), 300_000))
-        self.assertEqual(sent(self.desk.pass_time(700_000), p.Release), [1])
+        self.harness.session.decision_module.controller.handle = lambda *_: []  # type: ignore[method-assign]
+        self.harness.submit(s.MessageReceived(1, set_up(5, wait_ms=1000), 300_000))
+        self.assertEqual(sent(self.harness.pass_time(700_000), p.Release), [1])
 
     def test_a_call_that_the_module_forgets_fails_at_its_deadline(self) -> None:
-        self.desk.session.decision_module.controller.handle = lambda *_: []  # type: ignore[method-assign]
-        self.desk.hear(1, set_up(5, wait_ms=1000))
-        self.assertEqual(sent(self.desk.pass_time(SECOND), p.Release), [1])
+        self.harness.session.decision_module.controller.handle = lambda *_: []  # type: ignore[method-assign]
+        self.harness.deliver(1, set_up(5, wait_ms=1000))
+        self.assertEqual(sent(self.harness.pass_time(SECOND), p.Release), [1])
 
 
 class Attempts(unittest.TestCase):
     def setUp(self) -> None:
-        self.desk = Desk()
-        self.link = self.desk.link
+        self.harness = SessionHarness()
+        self.link = self.harness.first_links
 
     def test_the_give_up_leaves_before_the_time_out_is_known(self) -> None:
-        desk = self.desk
-        desk.hear(1, set_up(5))
-        desk.hold.add(self.link[1])
-        desk.pass_time(1_500_000)
-        self.assertIn(5, desk.session.calls.by_id)  # its give-up is asked for, but not through
-        self.assertEqual(desk.written[-1], (self.link[1], p.Release(5, GIVE_UP)))
+        harness = self.harness
+        harness.deliver(1, set_up(5))
+        harness.stalled_streams.add(self.link[1])
+        harness.pass_time(1_500_000)
+        self.assertIn(5, harness.session.calls.by_id)  # its give-up is asked for, but not through
+        self.assertEqual(harness.written[-1], (self.link[1], p.Release(5, GIVE_UP)))
         # A link that takes no give-up within 50 ms is closed, which gives up all set-ups on it.
-        written = desk.pass_time(limits.GIVE_UP_TIMEOUT_US)
-        self.assertIn(self.link[1], desk.closed)
+        written = harness.pass_time(limits.GIVE_UP_TIMEOUT_US)
+        self.assertIn(self.link[1], harness.closed)
         # The exchange is told on its other link too: it may have answered just before the close.
-        self.assertEqual(sent(written, p.Release), [1, desk.second[1]])
+        self.assertEqual(sent(written, p.Release), [1, harness.second_links[1]])
 
     def test_a_further_attempt_at_an_exchange_has_a_link_of_its_own(self) -> None:
-        desk = self.desk
-        desk.hear(1, set_up(5))
-        desk.hear(self.link[1], p.Release(5, p.ReleaseCause.TEMPORARY_FAILURE))
-        desk.pass_time(400_000)
-        second = desk.second[1]
-        self.assertEqual(sent(desk.written[-1:], p.SetUp), [second])
+        harness = self.harness
+        harness.deliver(1, set_up(5))
+        harness.deliver(self.link[1], p.Release(5, p.ReleaseCause.TEMPORARY_FAILURE))
+        harness.pass_time(400_000)
+        second = harness.second_links[1]
+        self.assertEqual(sent(harness.written[-1:], p.SetUp), [second])
         # An answer to the first attempt is not taken for one to the second, nor may it be released here.
-        self.assertEqual(desk.hear(self.link[1], p.Answer(5, b"late")), [])
-        self.assertEqual(sent(desk.hear(second, p.Answer(5, b"yes")), p.Answer), [1])
+        self.assertEqual(harness.deliver(self.link[1], p.Answer(5, b"late")), [])
+        self.assertEqual(sent(harness.deliver(second, p.Answer(5, b"yes")), p.Answer), [1])
 
     def test_outcomes_by_cause_and_by_how_a_link_ends(self) -> None:
         release = p.Release
@@ -241,37 +243,37 @@
         ]  # fmt: skip
         for message, outcome in cases:
             with self.subTest(message):
-                desk = Desk()
-                desk.hear(1, set_up(5))
-                link = desk.link[1]
-                desk.hear(link, message) if message else desk.do(s.ConnectionClosed(link))
-                self.assertEqual(desk.session.counters[f"attempts_{outcome}"], 1)
+                harness = SessionHarness()
+                harness.deliver(1, set_up(5))
+                link = harness.first_links[1]
+                harness.deliver(link, message) if message else harness.submit(s.ConnectionClosed(link))
+                self.assertEqual(harness.session.counters[f"attempts_{outcome}"], 1)
 
     def test_a_set_up_that_waits_for_its_link_is_checked_as_it_leaves(self) -> None:
-        def changed(desk: Desk) -> None:
-            update = p.ListUpdate(2, i.ListKind.CHANGES, (listed(1, state=i.ListState.DRAINING),))
-            desk.do(s.ListUpdateReceived(update))
+        def changed(harness: SessionHarness) -> None:
+            update = p.ListUpdate(2, i.ListKind.CHANGES, (exchange_record(1, state=i.ListState.DRAINING),))
+            harness.submit(s.ListUpdateReceived(update))
 
-        def late(desk: Desk) -> None:
-            desk.pass_time(1_500_000)
+        def late(harness: SessionHarness) -> None:
+            harness.pass_time(1_500_000)
 
         for happens, counter in ((changed, "attempts_not_sent"), (late, "attempts_unreachable")):
-            desk = Desk(far=1)
-            desk.do(s.ConnectionClosed(desk.link[1]))
-            desk.hear(1, set_up(5))
-            happens(desk)
-            written = desk.do(s.Connected(desk.connects[-1].stream))
-            self.assertEqual((sent(written, p.SetUp), desk.session.counters[counter]), ([], 1))
+            harness = SessionHarness(remote_exchanges=1)
+            harness.submit(s.ConnectionClosed(harness.first_links[1]))
+            harness.deliver(1, set_up(5))
+            happens(harness)
+            written = harness.submit(s.Connected(harness.connects[-1].stream))
+            self.assertEqual((sent(written, p.SetUp), harness.session.counters[counter]), ([], 1))
 
     def test_a_stuck_peer_is_dropped_and_delays_nobody(self) -> None:
-        desk = self.desk
-        desk.hold.add(1)
-        desk.stand(5)
-        desk.do(s.Accepted(2))
-        desk.hear(2, set_up(6, to=2))
-        self.assertEqual(sent(desk.hear(self.link[2], p.Answer(6, b"")), p.Answer), [2])
-        desk.pass_time(limits.WRITE_TIMEOUT_US + SECOND)
-        self.assertEqual(desk.closed, [1])
+        harness = self.harness
+        harness.stalled_streams.add(1)
+        harness.establish_call(5)
+        harness.submit(s.Accepted(2))
+        harness.deliver(2, set_up(6, to=2))
+        self.assertEqual(sent(harness.deliver(self.link[2], p.Answer(6, b"")), p.Answer), [2])
+        harness.pass_time(limits.WRITE_TIMEOUT_US + SECOND)
+        self.assertEqual(harness.closed, [1])
 
 
 class Spliced(unittest.TestCase):
@@ -286,300 +288,302 @@
             p.Answer(5, b"v=0"),
         )
         for message in behind:
-            desk = Desk()
-            desk.stand(4)
-            desk.hear(1, set_up(6))
-            desk.hear(1, set_up(5))
+            harness = SessionHarness()
+            harness.establish_call(4)
+            harness.deliver(1, set_up(6))
+            harness.deliver(1, set_up(5))
             spliced = p.Answer(5, b"v=0" + p.encode(message))
-            written = desk.hear(desk.link[1], spliced)
+            written = harness.deliver(harness.first_links[1], spliced)
             self.assertNotIn((1, spliced), written)
-            self.assertIn(desk.link[1], desk.closed)
+            self.assertIn(harness.first_links[1], harness.closed)
 
     def test_any_other_description_is_passed_on(self) -> None:
         for description in (b"\x00\xff" * 40, b"call 0000000000000006", (6).to_bytes(8, "big"), bytes(30)):
-            desk = Desk()
-            desk.hear(1, set_up(6))
-            desk.hear(1, set_up(5))
+            harness = SessionHarness()
+            harness.deliver(1, set_up(6))
+            harness.deliver(1, set_up(5))
             answer = p.Answer(5, description)
-            self.assertIn((1, answer), desk.hear(desk.link[1], answer))
+            self.assertIn((1, answer), harness.deliver(harness.first_links[1], answer))
 
 
 class Unsure(unittest.TestCase):
     """A connection breaks under a set-up, which may have been answered just before."""
 
     def setUp(self) -> None:
-        self.desk = Desk()
-        self.desk.hear(1, set_up(5))
+        self.harness = SessionHarness()
+        self.harness.deliver(1, set_up(5))
 
     def released(self, written: list[tuple[int, p.Message]]) -> list[int]:
-        far = self.desk.session.links.by_stream
+        far = self.harness.session.links.by_stream
         release = p.Release(5, GIVE_UP)
         return [far[stream].exchange_id for stream, message in written if stream in far and message == release]
 
     def test_its_exchange_is_told_once_the_call_is_over(self) -> None:
-        desk = self.desk
-        written = desk.do(s.ConnectionClosed(desk.link[1]))
+        harness = self.harness
+        written = harness.submit(s.ConnectionClosed(harness.first_links[1]))
         self.assertEqual(self.released(written), [])  # a later attempt there has the same id
-        self.assertEqual(self.released(desk.hear(1, p.Release(5, GIVE_UP))), [101])
+        self.assertEqual(self.released(harness.deliver(1, p.Release(5, GIVE_UP))), [101])
 
     def test_or_once_it_stands_elsewhere_but_never_where_it_stands(self) -> None:
         for direct_is_full, told in ((False, []), (True, [101])):
             self.setUp()
-            desk = self.desk
-            desk.do(s.ConnectionClosed(desk.link[1]))
+            harness = self.harness
+            harness.submit(s.ConnectionClosed(harness.first_links[1]))
             if direct_is_full:
-                desk.hear(desk.second[1], group_state(0))
-            desk.pass_time(SECOND // 2)
-            attempt = desk.session.calls.by_id[5].attempt
+                harness.deliver(harness.second_links[1], group_state(0))
+            harness.pass_time(SECOND // 2)
+            attempt = harness.session.calls.by_id[5].attempt
             self.assertEqual(attempt.link.exchange_id, 102 if direct_is_full else 101)
             if not attempt.link.up:
-                desk.do(s.Connected(attempt.link.ident))
-            self.assertEqual(self.released(desk.hear(attempt.link.ident, p.Answer(5, b"yes"))), told)
+                harness.submit(s.Connected(attempt.link.ident))
+            self.assertEqual(self.released(harness.deliver(attempt.link.ident, p.Answer(5, b"yes"))), told)
 
     def test_a_give_up_that_a_lost_link_may_not_have_carried_is_sent_again(self) -> None:
-        desk = self.desk
-        desk.hear(1, p.Release(5, GIVE_UP))
-        self.assertEqual(self.released(desk.do(s.ConnectionClosed(desk.link[1]))), [101])
+        harness = self.harness
+        harness.deliver(1, p.Release(5, GIVE_UP))
+        self.assertEqual(self.released(harness.submit(s.ConnectionClosed(harness.first_links[1]))), [101])
 
 
 class Exchanges(unittest.TestCase):
     def test_a_broken_and_refused_exchange_has_cut_its_calls(self) -> None:
         """Further links of a dead process, idle ones, may stay open and silent."""
-        desk = Desk(far=1)
-        desk.hear(1, set_up(4))
-        desk.hear(desk.link[1], p.Release(4, p.ReleaseCause.TEMPORARY_FAILURE))
-        desk.pass_time(400_000)
-        idle = desk.connects[-1].stream
-        desk.do(s.Connected(idle))
-        desk.stand(5)
-        desk.do(s.ConnectionClosed(desk.link[1]))
-        written = desk.do(s.ConnectFailed(desk.connects[-1].stream, refused=True))
+        harness = SessionHarness(remote_exchanges=1)
+        harness.deliver(1, set_up(4))
+        harness.deliver(harness.first_links[1], p.Release(4, p.ReleaseCause.TEMPORARY_FAILURE))
+        harness.pass_time(400_000)
+        idle = harness.connects[-1].stream
+        harness.submit(s.Connected(idle))
+        harness.establish_call(5)
+        harness.submit(s.ConnectionClosed(harness.first_links[1]))
+        written = harness.submit(s.ConnectFailed(harness.connects[-1].stream, refused=True))
         self.assertIn((1, p.Release(5, p.ReleaseCause.TEMPORARY_FAILURE)), written)
-        self.assertIn(idle, desk.closed)
+        self.assertIn(idle, harness.closed)
         # The exchange tells of it once more when it is back: that is late by then.
-        self.assertEqual(desk.hear(desk.link[1], p.Release(5, 41)), [])
+        self.assertEqual(harness.deliver(harness.first_links[1], p.Release(5, 41)), [])
 
     def test_an_exchange_that_drains_may_refuse_links_and_its_calls_go_on(self) -> None:
-        desk = Desk()
-        desk.stand(5)
-        desk.do(s.ListUpdateReceived(p.ListUpdate(2, i.ListKind.CHANGES, (listed(1, state=i.ListState.DRAINING),))))
-        for stream in (desk.link[1], desk.second[1]):
-            desk.do(s.ConnectionClosed(stream))
-        written = desk.do(s.ConnectFailed(desk.connects[-1].stream, True)) + desk.pass_time(SECOND)
+        harness = SessionHarness()
+        harness.establish_call(5)
+        harness.submit(
+            s.ListUpdateReceived(p.ListUpdate(2, i.ListKind.CHANGES, (exchange_record(1, state=i.ListState.DRAINING),)))
+        )
+        for stream in (harness.first_links[1], harness.second_links[1]):
+            harness.submit(s.ConnectionClosed(stream))
+        written = harness.submit(s.ConnectFailed(harness.connects[-1].stream, True)) + harness.pass_time(SECOND)
         self.assertEqual(sent(written, p.Release), [])
-        self.assertIn(5, desk.session.calls.by_id)
-        desk.do(s.Connected(desk.connects[-1].stream))  # it may be another exchange's by now
-        written = desk.pass_time(limits.DRAINED_AFTER_US)
+        self.assertIn(5, harness.session.calls.by_id)
+        harness.submit(s.Connected(harness.connects[-1].stream))  # it may be another exchange's by now
+        written = harness.pass_time(limits.DRAINED_AFTER_US)
         self.assertIn((1, p.Release(5, p.ReleaseCause.TEMPORARY_FAILURE)), written)
 
     def test_a_refused_link_beside_one_that_is_up_proves_nothing(self) -> None:
-        desk = Desk(far=1)
-        desk.stand(4)
-        desk.hear(1, set_up(5))
-        desk.hear(desk.link[1], p.Release(5, p.ReleaseCause.TEMPORARY_FAILURE))
-        desk.pass_time(400_000)
-        desk.do(s.ConnectFailed(desk.connects[-1].stream, refused=True))
-        self.assertIn(4, desk.session.calls.by_id)
+        harness = SessionHarness(remote_exchanges=1)
+        harness.establish_call(4)
+        harness.deliver(1, set_up(5))
+        harness.deliver(harness.first_links[1], p.Release(5, p.ReleaseCause.TEMPORARY_FAILURE))
+        harness.pass_time(400_000)
+        harness.submit(s.ConnectFailed(harness.connects[-1].stream, refused=True))
+        self.assertIn(4, harness.session.calls.by_id)
 
     def test_calls_of_an_exchange_that_is_gone_restarted_or_out_of_reach_are_over(self) -> None:
-        gone = p.ListUpdate(2, i.ListKind.CHANGES, (listed(1, state=i.ListState.GONE),))
-        unnamed = p.ListUpdate(2, i.ListKind.FULL, (listed(0), listed(2)))
+        gone = p.ListUpdate(2, i.ListKind.CHANGES, (exchange_record(1, state=i.ListState.GONE),))
+        unnamed = p.ListUpdate(2, i.ListKind.FULL, (exchange_record(0), exchange_record(2)))
 
-        def restart(desk: Desk) -> s.Input:
-            started = listed(1, started=desk.now + 1)
+        def restart(harness: SessionHarness) -> s.Input:
+            started = exchange_record(1, started=harness.now + 1)
             return s.ListUpdateReceived(p.ListUpdate(2, i.ListKind.CHANGES, (started,)))
 
         for happens in (lambda _: s.ListUpdateReceived(gone), lambda _: s.ListUpdateReceived(unnamed), restart):
-            desk = Desk()
-            desk.stand(5)
-            self.assertEqual(sent(desk.do(happens(desk)), p.Release), [1])
-        desk = Desk()
-        desk.stand(5)
-        desk.do(s.ConnectionClosed(desk.link[1]))  # the other stays open, and silent
-        desk.do(s.ConnectFailed(desk.connects[-1].stream, refused=False))
-        self.assertEqual(sent(desk.pass_time(limits.SILENCE_LIMIT_US + SECOND), p.Release), [1])
+            harness = SessionHarness()
+            harness.establish_call(5)
+            self.assertEqual(sent(harness.submit(happens(harness)), p.Release), [1])
+        harness = SessionHarness()
+        harness.establish_call(5)
+        harness.submit(s.ConnectionClosed(harness.first_links[1]))  # the other stays open, and silent
+        harness.submit(s.ConnectFailed(harness.connects[-1].stream, refused=False))
+        self.assertEqual(sent(harness.pass_time(limits.SILENCE_LIMIT_US + SECOND), p.Release), [1])
 
     def test_links_come_back_with_growing_pauses(self) -> None:
-        desk = Desk(far=1)
-        desk.do(s.ConnectionClosed(desk.second[1]))
-        desk.do(s.ConnectionClosed(desk.link[1]))
+        harness = SessionHarness(remote_exchanges=1)
+        harness.submit(s.ConnectionClosed(harness.second_links[1]))
+        harness.submit(s.ConnectionClosed(harness.first_links[1]))
         pauses = []
         for _ in range(8):
-            before = desk.now
-            count = len(desk.connects)
-            desk.do(s.ConnectFailed(desk.connects[-1].stream, refused=True))
-            while len(desk.connects) == count:
-                desk.now = desk.session.wake_us()
-                desk.do(s.Tick())
-            pauses.append(desk.now - before)
+            before = harness.now
+            count = len(harness.connects)
+            harness.submit(s.ConnectFailed(harness.connects[-1].stream, refused=True))
+            while len(harness.connects) == count:
+                harness.now = harness.session.wake_us()
+                harness.submit(s.Tick())
+            pauses.append(harness.now - before)
         self.assertLessEqual(max(pauses), limits.RECONNECT_MAX_US)
         self.assertGreaterEqual(pauses[-1], limits.RECONNECT_MAX_US // 2)
         self.assertGreater(pauses[-1], pauses[1])
 
     def test_an_old_event_of_the_channel_is_passed_over(self) -> None:
-        desk = Desk()
-        update = p.ListUpdate(1, i.ListKind.CHANGES, (listed(1, state=i.ListState.GONE),))
-        desk.do(s.ListUpdateReceived(update))
-        self.assertEqual(desk.closed, [])
+        harness = SessionHarness()
+        update = p.ListUpdate(1, i.ListKind.CHANGES, (exchange_record(1, state=i.ListState.GONE),))
+        harness.submit(s.ListUpdateReceived(update))
+        self.assertEqual(harness.closed, [])
 
     def test_a_release_of_a_call_from_before_a_restart_is_passed_on(self) -> None:
-        desk = Desk()
-        desk.hear(1, set_up(5))
+        harness = SessionHarness()
+        harness.deliver(1, set_up(5))
         release = p.Release(77, GIVE_UP)
-        self.assertEqual(desk.hear(desk.link[1], release), [(1, release)])
-        self.assertEqual(desk.hear(desk.link[1], release), [])
+        self.assertEqual(harness.deliver(harness.first_links[1], release), [(1, release)])
+        self.assertEqual(harness.deliver(harness.first_links[1], release), [])
 
     def test_reports_reach_the_module(self) -> None:
-        desk = Desk()
-        desk.hear(desk.link[1], group_state(0))
-        self.assertEqual(sent(desk.hear(1, set_up(5)), p.SetUp), [desk.link[2]])
+        harness = SessionHarness()
+        harness.deliver(harness.first_links[1], group_state(0))
+        self.assertEqual(sent(harness.deliver(1, set_up(5)), p.SetUp), [harness.first_links[2]])
 
     def test_an_exchange_that_is_gone_is_forgotten(self) -> None:
         # On long days exchanges come and go under new ids, at addresses of those that have gone.
-        desk = Desk(far=1)
+        harness = SessionHarness(remote_exchanges=1)
         for k in range(50):
             new = p.ExchangeRecord(i.ListEntry(200 + k, 1, i.ListState.READY, 0), ("127.0.0.1", 5 + k % 3))
-            old = listed(1, state=i.ListState.GONE) if k == 0 else dataclasses.replace(new, entry=i.ListEntry(
+            old = exchange_record(1, state=i.ListState.GONE) if k == 0 else dataclasses.replace(new, entry=i.ListEntry(
                 199 + k, 1, i.ListState.GONE, 0))  # fmt: skip
-            desk.do(s.ListUpdateReceived(p.ListUpdate(2 + k, i.ListKind.CHANGES, (old, new))))
-            desk.do(s.Connected(desk.connects[-1].stream))
-            desk.hear(desk.connects[-2].stream, group_state(20))
-            self.assertEqual(sent(desk.hear(1, set_up(5 + k)), p.SetUp), [desk.connects[-2].stream])
-            self.assertEqual(sent(desk.hear(desk.connects[-2].stream, p.Answer(5 + k, b"y")), p.Answer), [1])
-        self.assertEqual(len(desk.session.exchanges.by_id), 2)
-        self.assertEqual(len(desk.session.decision_module.controller.exchanges), 2)
-        self.assertEqual(len(desk.session.links.by_stream), 2)
-        self.assertEqual(len(desk.session.calls.by_id), 1)
+            harness.submit(s.ListUpdateReceived(p.ListUpdate(2 + k, i.ListKind.CHANGES, (old, new))))
+            harness.submit(s.Connected(harness.connects[-1].stream))
+            harness.deliver(harness.connects[-2].stream, group_state(20))
+            self.assertEqual(sent(harness.deliver(1, set_up(5 + k)), p.SetUp), [harness.connects[-2].stream])
+            self.assertEqual(sent(harness.deliver(harness.connects[-2].stream, p.Answer(5 + k, b"y")), p.Answer), [1])
+        self.assertEqual(len(harness.session.exchanges.by_id), 2)
+        self.assertEqual(len(harness.session.decision_module.controller.exchanges), 2)
+        self.assertEqual(len(harness.session.links.by_stream), 2)
+        self.assertEqual(len(harness.session.calls.by_id), 1)
 
     def test_a_new_exchange_at_an_address_ends_the_one_that_was_there(self) -> None:
         # Else calls would reach the new one under the old id, until the word of the old one's end has come.
-        desk = Desk(far=1)
-        moved = p.ExchangeRecord(i.ListEntry(300, 1, i.ListState.READY, 0), listed(1).address)
-        desk.do(s.ListUpdateReceived(p.ListUpdate(2, i.ListKind.CHANGES, (moved,))))
-        self.assertIn(desk.link[1], desk.closed)
-        self.assertEqual(list(desk.session.exchanges.by_id), [100, 300])
-        self.assertEqual(list(desk.session.decision_module.controller.exchanges), [100, 300])
+        harness = SessionHarness(remote_exchanges=1)
+        moved = p.ExchangeRecord(i.ListEntry(300, 1, i.ListState.READY, 0), exchange_record(1).address)
+        harness.submit(s.ListUpdateReceived(p.ListUpdate(2, i.ListKind.CHANGES, (moved,))))
+        self.assertIn(harness.first_links[1], harness.closed)
+        self.assertEqual(list(harness.session.exchanges.by_id), [100, 300])
+        self.assertEqual(list(harness.session.decision_module.controller.exchanges), [100, 300])
 
 
 class SpoiltLinks(unittest.TestCase):
     """An exchange's message that comes spoilt leaves its link of no further use, though it may stay open."""
 
     def setUp(self) -> None:
-        self.desk = Desk(far=1)
-        self.link, self.other = self.desk.link[1], self.desk.second[1]
+        self.harness = SessionHarness(remote_exchanges=1)
+        self.link, self.other = self.harness.first_links[1], self.harness.second_links[1]
 
     def test_a_message_that_no_exchange_sends_closes_its_link(self) -> None:
-        self.desk.hear(self.link, p.UnknownMessage(5, 123))
-        self.assertEqual(self.desk.closed, [self.link])
+        self.harness.deliver(self.link, p.UnknownMessage(5, 123))
+        self.assertEqual(self.harness.closed, [self.link])
 
     def test_a_half_read_link_gets_no_set_ups_and_is_closed(self) -> None:
-        desk = self.desk
-        desk.hear(1, set_up(4))
-        desk.do(s.PartialMessage(self.link, True))
-        self.assertEqual(sent(desk.hear(1, set_up(5)), p.SetUp), [self.other])
-        desk.pass_time(limits.LINK_PARTIAL_TIMEOUT_US)
-        self.assertEqual(desk.closed, [self.link])
-        self.assertEqual(desk.session.counters["attempts_cut"], 1)
+        harness = self.harness
+        harness.deliver(1, set_up(4))
+        harness.submit(s.PartialMessage(self.link, True))
+        self.assertEqual(sent(harness.deliver(1, set_up(5)), p.SetUp), [self.other])
+        harness.pass_time(limits.LINK_PARTIAL_TIMEOUT_US)
+        self.assertEqual(harness.closed, [self.link])
+        self.assertEqual(harness.session.counters["attempts_cut"], 1)
 
     def test_a_message_that_becomes_whole_leaves_its_link_open(self) -> None:
         for step in (True, False):
-            self.desk.do(s.PartialMessage(self.link, step))
-        self.desk.pass_time(SECOND)
-        self.assertEqual(self.desk.closed, [])
+            self.harness.submit(s.PartialMessage(self.link, step))
+        self.harness.pass_time(SECOND)
+        self.assertEqual(self.harness.closed, [])
 
     def test_a_link_that_misses_what_the_other_hears_is_closed(self) -> None:
-        desk = self.desk
+        harness = self.harness
         for free in (20, 19):
-            desk.hear(self.other, group_state(free))
-            desk.hear(self.link, group_state(free))
-            desk.pass_time(400_000)
-        self.assertEqual(desk.closed, [])
+            harness.deliver(self.other, group_state(free))
+            harness.deliver(self.link, group_state(free))
+            harness.pass_time(400_000)
+        self.assertEqual(harness.closed, [])
         for free in (18, 17):
-            desk.hear(self.other, group_state(free))
-            desk.pass_time(400_000)
-        self.assertEqual(desk.closed, [self.link])
+            harness.deliver(self.other, group_state(free))
+            harness.pass_time(400_000)
+        self.assertEqual(harness.closed, [self.link])
 
     def test_attempts_that_time_out_unheard_close_their_link(self) -> None:
-        desk = self.desk
-        desk.pass_time(1)  # what was heard last came before the attempt
-        desk.hear(1, set_up(5))
-        desk.pass_time(300_000)
-        desk.hear(self.other, group_state(20))
-        desk.pass_time(1_300_000)
-        self.assertEqual(desk.closed, [self.link])
+        harness = self.harness
+        harness.pass_time(1)  # what was heard last came before the attempt
+        harness.deliver(1, set_up(5))
+        harness.pass_time(300_000)
+        harness.deliver(self.other, group_state(20))
+        harness.pass_time(1_300_000)
+        self.assertEqual(harness.closed, [self.link])
 
     def test_the_reset_of_a_new_link_is_no_end_of_an_attempt_not_sent(self) -> None:
-        desk = self.desk
-        desk.do(s.ConnectionClosed(self.other))
-        desk.do(s.ConnectionClosed(self.link))
-        new = desk.connects[-1].stream
-        desk.hold.add(new)
-        desk.do(s.Connected(new))
-        desk.hear(new, p.HealthCheck(1))  # a write that does not get through
-        desk.hear(1, set_up(5))
-        desk.do(s.ConnectionClosed(new))
-        again = next(c.stream for c in desk.connects if c.stream in desk.session.links.by_stream
-                     and desk.session.links.by_stream[c.stream].attempts)  # fmt: skip
-        self.assertEqual(sent(desk.do(s.Connected(again)), p.SetUp), [again])
+        harness = self.harness
+        harness.submit(s.ConnectionClosed(self.other))
+        harness.submit(s.ConnectionClosed(self.link))
+        new = harness.connects[-1].stream
+        harness.stalled_streams.add(new)
+        harness.submit(s.Connected(new))
+        harness.deliver(new, p.HealthCheck(1))  # a write that does not get through
+        harness.deliver(1, set_up(5))
+        harness.submit(s.ConnectionClosed(new))
+        again = next(c.stream for c in harness.connects if c.stream in harness.session.links.by_stream
+                     and harness.session.links.by_stream[c.stream].attempts)  # fmt: skip
+        self.assertEqual(sent(harness.submit(s.Connected(again)), p.SetUp), [again])
 
     def test_a_group_state_counts_once_though_it_comes_on_every_link(self) -> None:
         # Else its copy gives back the circuit that a call has just been sent to, and the next call is moot.
-        desk = self.desk
-        desk.pass_time(SECOND)
+        harness = self.harness
+        harness.pass_time(SECOND)
         for link in (self.link, self.other):
-            desk.hear(link, group_state(0))
-        desk.hear(1, set_up(5))
-        desk.hear(1, set_up(6))
-        written = desk.hear(self.link, group_state(1)) + desk.hear(self.other, group_state(1))
+            harness.deliver(link, group_state(0))
+        harness.deliver(1, set_up(5))
+        harness.deliver(1, set_up(6))
+        written = harness.deliver(self.link, group_state(1)) + harness.deliver(self.other, group_state(1))
         self.assertEqual(len(sent(written, p.SetUp)), 1)
-        written = desk.hear(self.link, group_state(0)) + desk.hear(self.link, group_state(1))
+        written = harness.deliver(self.link, group_state(0)) + harness.deliver(self.link, group_state(1))
         self.assertEqual(len(sent(written, p.SetUp)), 1)
 
     def test_a_late_copy_of_a_refusal_ends_no_standing_call(self) -> None:
-        desk = self.desk
-        desk.stand(5)
-        desk.hear(self.link, p.Release(5, p.ReleaseCause.NO_CIRCUIT, "no_circuit"))
-        self.assertIn(5, desk.session.calls.by_id)
+        harness = self.harness
+        harness.establish_call(5)
+        harness.deliver(self.link, p.Release(5, p.ReleaseCause.NO_CIRCUIT, "no_circuit"))
+        self.assertIn(5, harness.session.calls.by_id)
 
     def test_what_is_under_an_unknown_id_reaches_no_caller(self) -> None:
-        desk = self.desk
-        desk.hear(1, set_up(5))
-        written = desk.hear(self.link, p.Answer(99, b"no")) + desk.hear(self.link, p.Answer(5, b"yes"))
-        written += desk.hear(self.link, p.Answer(5, b"yes"))
+        harness = self.harness
+        harness.deliver(1, set_up(5))
+        written = harness.deliver(self.link, p.Answer(99, b"no")) + harness.deliver(self.link, p.Answer(5, b"yes"))
+        written += harness.deliver(self.link, p.Answer(5, b"yes"))
         self.assertEqual([m for stream, m in written if stream == 1], [p.Answer(5, b"yes")])
-        self.assertIn(5, desk.session.calls.by_id)
+        self.assertIn(5, harness.session.calls.by_id)
 
 
 class BadCallers(unittest.TestCase):
     """Callers that cannot be understood are owed a word or a close within 3 s, and good ones come first."""
 
     def setUp(self) -> None:
-        self.desk = Desk()
+        self.harness = SessionHarness()
 
     def test_silent_and_half_sent_connections_are_closed_in_time(self) -> None:
-        desk = self.desk
-        desk.hear(1, p.HealthCheck(1))
+        harness = self.harness
+        harness.deliver(1, p.HealthCheck(1))
         for stream in (2, 3, 4):
-            desk.do(s.Accepted(stream))
-        desk.hear(3, set_up(5))
-        desk.do(s.PartialMessage(1, True))
-        desk.hear(4, p.UnknownMessage(1, 123))
-        desk.pass_time(2_500_000)
-        self.assertEqual(desk.closed, [])  # what comes in pieces may be whole by now
-        desk.pass_time(400_000)
+            harness.submit(s.Accepted(stream))
+        harness.deliver(3, set_up(5))
+        harness.submit(s.PartialMessage(1, True))
+        harness.deliver(4, p.UnknownMessage(1, 123))
+        harness.pass_time(2_500_000)
+        self.assertEqual(harness.closed, [])  # what comes in pieces may be whole by now
+        harness.pass_time(400_000)
         # The good caller of the open call stays, and so do idle connections that have been told something.
-        self.assertEqual(sorted(desk.closed), [1, 2, 4])
-        desk.hear(desk.link[1], p.Answer(5, b"yes"))
-        desk.pass_time(60 * SECOND)
-        self.assertNotIn(3, desk.closed)
+        self.assertEqual(sorted(harness.closed), [1, 2, 4])
+        harness.deliver(harness.first_links[1], p.Answer(5, b"yes"))
+        harness.pass_time(60 * SECOND)
+        self.assertNotIn(3, harness.closed)
 
     def test_after_input_that_cannot_be_read_open_calls_fail_and_the_connection_closes(self) -> None:
-        desk = self.desk
-        desk.hear(1, set_up(5))
-        written = desk.do(s.MalformedInput(1, "message of 3 bytes"))
+        harness = self.harness
+        harness.deliver(1, set_up(5))
+        written = harness.submit(s.MalformedInput(1, "message of 3 bytes"))
         self.assertIn((1, p.Release(5, p.ReleaseCause.TEMPORARY_FAILURE)), written)
-        self.assertIn((desk.link[1], p.Release(5, GIVE_UP)), written)
-        self.assertEqual(desk.closed, [1])
+        self.assertIn((harness.first_links[1], p.Release(5, GIVE_UP)), written)
+        self.assertEqual(harness.closed, [1])
 
     def test_floods_are_cut_off_and_a_busy_good_caller_is_not(self) -> None:
         floods = {
@@ -588,147 +592,147 @@
         }  # fmt: skip
         for name, message in floods.items():
             with self.subTest(name):
-                desk = Desk()
+                harness = SessionHarness()
                 for k in range(1, 200):
-                    desk.hear(1, message(k))
-                self.assertEqual(desk.closed, [1])
-        self.desk.hear(1, set_up(1000))
+                    harness.deliver(1, message(k))
+                self.assertEqual(harness.closed, [1])
+        self.harness.deliver(1, set_up(1000))
         for k in range(1, 400):
-            self.desk.hear(1, p.Release(k, GIVE_UP))  # of calls that stood before a restart
-            self.desk.hear(1, p.ReleaseConfirmed(k)) if k % 3 == 0 else None
-            self.desk.pass_time(100_000)
-        self.assertEqual(self.desk.closed, [])
+            self.harness.deliver(1, p.Release(k, GIVE_UP))  # of calls that stood before a restart
+            self.harness.deliver(1, p.ReleaseConfirmed(k)) if k % 3 == 0 else None
+            self.harness.pass_time(100_000)
+        self.assertEqual(self.harness.closed, [])
 
     def test_calls_beyond_a_connections_budget_are_refused_at_once(self) -> None:
         for k in range(1, limits.MAX_OPEN_CALLS + 1):
-            self.desk.hear(1, set_up(k, wait_ms=9000))
-        owed = len(self.desk.session.callers.by_stream[1].unanswered)
+            self.harness.deliver(1, set_up(k, wait_ms=9000))
+        owed = len(self.harness.session.callers.by_stream[1].unanswered)
         self.assertLessEqual(owed, limits.MAX_OPEN_CALLS)
         for k in range(owed, limits.MAX_OPEN_CALLS + 1):
-            written = self.desk.hear(1, set_up(1000 + k, wait_ms=9000))
+            written = self.harness.deliver(1, set_up(1000 + k, wait_ms=9000))
         self.assertEqual([(m.cause, m.retry_after_ms) for _, m in written], [(p.ReleaseCause.CONGESTION, 2000)])
 
     def test_connections_on_which_calls_stood_are_the_last_to_make_room(self) -> None:
-        desk = Desk(sockets=3 * limits.MIN_CALLERS_DIVISOR)
-        desk.stand(5)
+        harness = SessionHarness(socket_limit=3 * limits.MIN_CALLERS_DIVISOR)
+        harness.establish_call(5)
         for stream in range(2, 40):
-            desk.do(s.Accepted(stream))
-            desk.hear(stream, p.HealthCheck(1))
-        self.assertNotIn(1, desk.closed)
+            harness.submit(s.Accepted(stream))
+            harness.deliver(stream, p.HealthCheck(1))
+        self.assertNotIn(1, harness.closed)
 
     def test_the_budget_follows_the_limit(self) -> None:
         for sockets, exchanges, most in ((384, 3, 335), (1024, 40, 864), (128, 10, 58), (96, 20, 32)):
-            desk = Desk(far=exchanges - 1, sockets=sockets)
-            self.assertEqual(desk.session.callers.limit(), most)
+            harness = SessionHarness(remote_exchanges=exchanges - 1, socket_limit=sockets)
+            self.assertEqual(harness.session.callers.limit(), most)
 
     def test_in_a_crowd_what_comes_in_pieces_outlasts_silence(self) -> None:
-        desk = Desk(sockets=12 * limits.MIN_CALLERS_DIVISOR)
-        desk.do(s.Accepted(2))
+        harness = SessionHarness(socket_limit=12 * limits.MIN_CALLERS_DIVISOR)
+        harness.submit(s.Accepted(2))
         for stream in range(10, 60):
-            desk.pass_time(100_000)
-            desk.do(s.Accepted(stream))
+            harness.pass_time(100_000)
+            harness.submit(s.Accepted(stream))
             if stream % 3 == 0 and stream < 30:
-                desk.do(s.PartialMessage(2, True))
+                harness.submit(s.PartialMessage(2, True))
             if stream == 31:
-                desk.hear(2, set_up(5))
-                desk.do(s.PartialMessage(2, False))
-        self.assertNotIn(2, desk.closed)
-        self.assertGreater(len(desk.closed), 20)
+                harness.deliver(2, set_up(5))
+                harness.submit(s.PartialMessage(2, False))
+        self.assertNotIn(2, harness.closed)
+        self.assertGreater(len(harness.closed), 20)
 
     def test_where_all_strangers_are_fresh_a_connection_with_nothing_open_makes_room(self) -> None:
-        desk = Desk(sockets=4 * limits.MIN_CALLERS_DIVISOR)
-        desk.stand(5)
-        desk.do(s.Accepted(2))
-        desk.hear(2, set_up(6, to=9))  # refused: nothing is left of it
-        desk.pass_time(SECOND)
+        harness = SessionHarness(socket_limit=4 * limits.MIN_CALLERS_DIVISOR)
+        harness.establish_call(5)
+        harness.submit(s.Accepted(2))
+        harness.deliver(2, set_up(6, to=9))  # refused: nothing is left of it
+        harness.pass_time(SECOND)
         for stream in (3, 4, 5, 6):
-            desk.do(s.Accepted(stream))
+            harness.submit(s.Accepted(stream))
         # Then the strangers, and the connection of the call that stands last.
-        self.assertEqual(desk.closed, [2, 3])
+        self.assertEqual(harness.closed, [2, 3])
 
     def test_withdrawn_calls_hang_on_no_timer(self) -> None:
-        desk = self.desk
+        harness = self.harness
         for k in range(1, 30):
-            desk.hear(1, set_up(k, wait_ms=9000))
-            desk.hear(1, p.Release(k, GIVE_UP))
-        held = [t for _, _, t in desk.session.timers.heap if isinstance(t.subject, s.Call | s.Attempt)]
-        self.assertEqual((held, desk.session.calls.by_id), ([], {}))
+            harness.deliver(1, set_up(k, wait_ms=9000))
+            harness.deliver(1, p.Release(k, GIVE_UP))
+        held = [t for _, _, t in harness.session.timers.heap if isinstance(t.subject, s.Call | s.Attempt)]
+        self.assertEqual((held, harness.session.calls.by_id), ([], {}))
 
 
 class Life(unittest.TestCase):
     def test_the_descriptor_budget_is_kept(self) -> None:
-        desk = Desk(sockets=2 * limits.MIN_CALLERS_DIVISOR)
-        desk.hear(1, set_up(5))
-        desk.do(s.Accepted(2))
-        desk.do(s.Accepted(3))  # the idle one makes room
-        self.assertEqual(desk.closed, [2])
-        desk.hear(3, set_up(6))
-        desk.do(s.Accepted(4))  # none is idle
-        self.assertEqual(desk.closed, [2, 4])
+        harness = SessionHarness(socket_limit=2 * limits.MIN_CALLERS_DIVISOR)
+        harness.deliver(1, set_up(5))
+        harness.submit(s.Accepted(2))
+        harness.submit(s.Accepted(3))  # the idle one makes room
+        self.assertEqual(harness.closed, [2])
+        harness.deliver(3, set_up(6))
+        harness.submit(s.Accepted(4))  # none is idle
+        self.assertEqual(harness.closed, [2, 4])
 
     def test_it_ends_when_all_is_answered_and_at_the_latest_before_sigkill(self) -> None:
         for answered in (True, False):
-            desk = Desk()
-            desk.hear(1, set_up(5, wait_ms=9000))
-            desk.do(s.Terminate())
-            desk.pass_time(300_000)
-            desk.do(s.Accepted(2))
-            self.assertEqual(sent(desk.hear(2, set_up(6, to=2)), p.SetUp), [desk.link[2]])
-            desk.hear(desk.link[2], p.Answer(6, b""))
+            harness = SessionHarness()
+            harness.deliver(1, set_up(5, wait_ms=9000))
+            harness.submit(s.Terminate())
+            harness.pass_time(300_000)
+            harness.submit(s.Accepted(2))
+            self.assertEqual(sent(harness.deliver(2, set_up(6, to=2)), p.SetUp), [harness.first_links[2]])
+            harness.deliver(harness.first_links[2], p.Answer(6, b""))
             if answered:
-                desk.hear(desk.link[1], p.Answer(5, b""))
-            desk.pass_time(limits.SIGTERM_GRACE_US - 300_001)
-            self.assertFalse(desk.ended)
-            desk.pass_time(2)
-            self.assertEqual(desk.ended, answered)
+                harness.deliver(harness.first_links[1], p.Answer(5, b""))
+            harness.pass_time(limits.SIGTERM_GRACE_US - 300_001)
+            self.assertFalse(harness.exited)
+            harness.pass_time(2)
+            self.assertEqual(harness.exited, answered)
             # What is open when SIGKILL is near is answered: 3 s and 0.7 s after SIGTERM it may come.
-            written = desk.pass_time(3 * SECOND - 100_000)
+            written = harness.pass_time(3 * SECOND - 100_000)
             self.assertEqual([m.call for k, m in written if k == 1], [] if answered else [5])
-            self.assertTrue(desk.ended)
+            self.assertTrue(harness.exited)
 
     def test_at_the_end_connections_close_one_by_one_and_what_still_comes_is_refused(self) -> None:
-        desk = Desk()
-        desk.do(s.Accepted(2))
+        harness = SessionHarness()
+        harness.submit(s.Accepted(2))
         unread = {2}  # a set-up lies in its socket, so that it cannot be closed yet
-        steps = desk.session.step
+        steps = harness.session.step
 
         def step(now: int, happened: s.Input) -> list[s.Effect]:
             effects = steps(now, happened)
             return [e for e in effects if not (isinstance(e, s.CloseIdle) and e.stream in unread)]
 
-        desk.session.step = step  # type: ignore[method-assign]
-        desk.do(s.Terminate())
-        desk.pass_time(limits.SIGTERM_GRACE_US)
-        self.assertEqual((desk.closed, desk.ended), ([1], False))
+        harness.session.step = step  # type: ignore[method-assign]
+        harness.submit(s.Terminate())
+        harness.pass_time(limits.SIGTERM_GRACE_US)
+        self.assertEqual((harness.closed, harness.exited), ([1], False))
         refusal = p.Release(7, p.ReleaseCause.CONGESTION, retry_after_ms=2000)
         unread.clear()
-        self.assertEqual(desk.hear(2, set_up(7)), [(2, refusal)])
-        desk.pass_time(limits.SIGTERM_CLOSE_INTERVAL_US)
-        self.assertEqual((desk.closed, desk.ended), ([1, 2], True))
+        self.assertEqual(harness.deliver(2, set_up(7)), [(2, refusal)])
+        harness.pass_time(limits.SIGTERM_CLOSE_INTERVAL_US)
+        self.assertEqual((harness.closed, harness.exited), ([1, 2], True))
 
     def test_a_set_up_that_comes_as_all_is_answered_for_the_end_is_answered_and_is_no_fault(self) -> None:
         # The module was offered a call that had been failed in the same step, and sent it.
-        desk = Desk(far=3)
-        desk.do(s.Terminate())
-        last_us = desk.session.phases.answer_all_by_us
+        harness = SessionHarness(remote_exchanges=3)
+        harness.submit(s.Terminate())
+        last_us = harness.session.phases.answer_all_by_us
         for call in range(10, 14):
-            desk.hear(1, set_up(call, to=1 + call % 2 * 2, wait_ms=9000))  # something to wait for
-            desk.pass_time((last_us - desk.session.phases.sigterm_us) // 4 - 1)
-        desk.hear(1, set_up(5, wait_ms=9000))
-        desk.now = last_us
-        written = desk.hear(1, set_up(6, to=2, wait_ms=9000))
+            harness.deliver(1, set_up(call, to=1 + call % 2 * 2, wait_ms=9000))  # something to wait for
+            harness.pass_time((last_us - harness.session.phases.sigterm_us) // 4 - 1)
+        harness.deliver(1, set_up(5, wait_ms=9000))
+        harness.now = last_us
+        written = harness.deliver(1, set_up(6, to=2, wait_ms=9000))
         self.assertEqual(sorted(m.call for stream, m in written if stream == 1), [5, 6, 13])
-        self.assertEqual(desk.session.counters["errors"], 0)
-        self.assertNotIn(6, desk.session.decision_module.controller.calls)
+        self.assertEqual(harness.session.counters["errors"], 0)
+        self.assertNotIn(6, harness.session.decision_module.controller.calls)
 
     def test_a_clock_set_back_does_not_reach_the_module(self) -> None:
-        desk = Desk()
+        harness = SessionHarness()
         times: list[int] = []
-        handle = desk.session.decision_module.controller.handle
-        desk.session.decision_module.controller.handle = lambda now, event: times.append(now) or handle(now, event)  # type: ignore
+        handle = harness.session.decision_module.controller.handle
+        harness.session.decision_module.controller.handle = lambda now, event: times.append(now) or handle(now, event)  # type: ignore
         for back in (0, 5 * SECOND):
-            desk.now -= back
-            desk.hear(1, set_up(5 + back))
+            harness.now -= back
+            harness.deliver(1, set_up(5 + back))
         self.assertEqual(times, sorted(times))
 
 
@@ -737,76 +741,86 @@
 
     def test_a_discovery_that_answers_late_is_heard_in_the_end(self) -> None:
         for late_us in (SECOND // 2, 2 * SECOND, 3 * SECOND):
-            desk = Desk()
-            began, heard = desk.now, False
-            while desk.now < began + 20 * SECOND and not heard:
-                desk.pass_time(SECOND // 20)
-                asked = desk.session.channel.last_received_us if not desk.session.channel.has_answered else desk.now
-                if len(desk.follows) > 1 and desk.now - asked >= late_us:
+            harness = SessionHarness()
+            began, heard = harness.now, False
+            while harness.now < began + 20 * SECOND and not heard:
+                harness.pass_time(SECOND // 20)
+                asked = (
+                    harness.session.channel.last_received_us
+                    if not harness.session.channel.has_answered
+                    else harness.now
+                )
+                if len(harness.channel_connects) > 1 and harness.now - asked >= late_us:
                     heard = True
             self.assertTrue(heard, f"{late_us}")
 
     def test_a_silent_discovery_is_asked_again_in_time_whenever_it_comes_back(self) -> None:
         # The connection asked for just before it comes back stays silent; the next one tells.
-        desk = Desk()
-        desk.pass_time(30 * SECOND)
-        before = len(desk.follows)
-        began = desk.now
-        while len(desk.follows) == before:
-            desk.pass_time(SECOND // 20)
-        wait = desk.now - began
-        while len(desk.follows) == before + 1:
-            desk.pass_time(SECOND // 20)
-        wait = max(wait, desk.now - began - wait)
+        harness = SessionHarness()
+        harness.pass_time(30 * SECOND)
+        before = len(harness.channel_connects)
+        began = harness.now
+        while len(harness.channel_connects) == before:
+            harness.pass_time(SECOND // 20)
+        wait = harness.now - began
+        while len(harness.channel_connects) == before + 1:
+            harness.pass_time(SECOND // 20)
+        wait = max(wait, harness.now - began - wait)
         longest = limits.CHANNEL_CONNECT_TIMEOUT_MAX_US + limits.CHANNEL_RECONNECT_PAUSE_US + wait
         self.assertLess(longest, 6 * SECOND - SECOND // 2)
 
     def test_new_configurations_in_a_row_do_not_end_a_connection_to_the_same_address(self) -> None:
-        desk = Desk()
-        settings = desk.session.classes.settings
+        harness = SessionHarness()
+        settings = harness.session.classes.settings
         for _ in range(20):
-            desk.do(s.Reconfigured((), ("127.0.0.1", 9), 1024, settings))
-        self.assertEqual(len(desk.follows), 1)
-        desk.do(s.Reconfigured((), ("127.0.0.1", 10), 1024, settings))
-        self.assertEqual(desk.follows[-1].address, ("127.0.0.1", 10))
+            harness.submit(s.Reconfigured((), ("127.0.0.1", 9), 1024, settings))
+        self.assertEqual(len(harness.channel_connects), 1)
+        harness.submit(s.Reconfigured((), ("127.0.0.1", 10), 1024, settings))
+        self.assertEqual(harness.channel_connects[-1].address, ("127.0.0.1", 10))
 
     def setUp(self) -> None:
-        self.desk = Desk()
+        self.harness = SessionHarness()
 
     def test_a_break_is_followed_at_once_and_further_ones_after_a_pause(self) -> None:
-        desk, begin = self.desk, self.desk.now
-        desk.do(s.ChannelLost("closed"))
-        self.assertEqual(len(desk.follows), 2)
-        desk.do(s.ChannelLost("refused"))
-        self.assertEqual(len(desk.follows), 2)
+        harness, begin = self.harness, self.harness.now
+        harness.submit(s.ChannelLost("closed"))
+        self.assertEqual(len(harness.channel_connects), 2)
+        harness.submit(s.ChannelLost("refused"))
+        self.assertEqual(len(harness.channel_connects), 2)
         for _ in range(8):  # each takes its whole time to fail
-            desk.pass_time(limits.CHANNEL_RECONNECT_PAUSE_US)
-            desk.do(s.ChannelLost("timed out"))
-        self.assertEqual(len(desk.follows), 10)
-        self.assertLess(desk.now - begin, 2 * SECOND)
+            harness.pass_time(limits.CHANNEL_RECONNECT_PAUSE_US)
+            harness.submit(s.ChannelLost("timed out"))
+        self.assertEqual(len(harness.channel_connects), 10)
+        self.assertLess(harness.now - begin, 2 * SECOND)
 
     def test_a_silent_channel_is_asked_again_well_within_4_s(self) -> None:
-        desk = self.desk
+        harness = self.harness
         for _ in range(8):
-            desk.pass_time(SECOND)
-            desk.do(s.ListUpdateReceived(p.ListUpdate(0, None)))
-        self.assertEqual(len(desk.follows), 1)
-        desk.do(s.ListUpdateReceived(p.ListUpdate(2, i.ListKind.CHANGES, (listed(1, state=i.ListState.DRAINING),))))
-        desk.pass_time(4 * SECOND - limits.CHANNEL_CONNECT_TIMEOUT_US - SECOND)
-        self.assertEqual(desk.follows[1:], [s.ConnectChannel(("127.0.0.1", 9), 2, limits.CHANNEL_CONNECT_TIMEOUT_US)])
+            harness.pass_time(SECOND)
+            harness.submit(s.ListUpdateReceived(p.ListUpdate(0, None)))
+        self.assertEqual(len(harness.channel_connects), 1)
+        harness.submit(
+            s.ListUpdateReceived(p.ListUpdate(2, i.ListKind.CHANGES, (exchange_record(1, state=i.ListState.DRAINING),)))
+        )
+        harness.pass_time(4 * SECOND - limits.CHANNEL_CONNECT_TIMEOUT_US - SECOND)
+        self.assertEqual(
+            harness.channel_connects[1:], [s.ConnectChannel(("127.0.0.1", 9), 2, limits.CHANNEL_CONNECT_TIMEOUT_US)]
+        )
 
     def test_an_event_written_twice_or_known_counts_once(self) -> None:
         # The whole list of the start, coming again, would bring back an exchange that has gone.
-        desk = self.desk
-        whole = p.ListUpdate(1, i.ListKind.FULL, tuple(listed(k) for k in range(3)))
-        gone = p.ListUpdate(2, i.ListKind.CHANGES, (listed(1, state=i.ListState.GONE),))
-        draining = p.ListUpdate(3, i.ListKind.CHANGES, (listed(2, state=i.ListState.DRAINING),))
-        desk.do(s.ListUpdateReceived(gone))
-        count = len(desk.connects)
-        desk.do(s.ListUpdateReceived(whole))
-        desk.do(s.Reconfigured((whole, gone, draining), ("127.0.0.1", 10), 512, desk.settings))
-        self.assertNotIn(101, desk.session.exchanges.by_id)
-        self.assertEqual(len(desk.connects), count)
-        self.assertEqual(desk.session.exchanges.by_id[102].state, i.ListState.DRAINING)
-        self.assertEqual(desk.follows[-1], s.ConnectChannel(("127.0.0.1", 10), 3, limits.CHANNEL_CONNECT_TIMEOUT_US))
-        self.assertEqual(desk.session.core.socket_limit, 512)
+        harness = self.harness
+        whole = p.ListUpdate(1, i.ListKind.FULL, tuple(exchange_record(k) for k in range(3)))
+        gone = p.ListUpdate(2, i.ListKind.CHANGES, (exchange_record(1, state=i.ListState.GONE),))
+        draining = p.ListUpdate(3, i.ListKind.CHANGES, (exchange_record(2, state=i.ListState.DRAINING),))
+        harness.submit(s.ListUpdateReceived(gone))
+        count = len(harness.connects)
+        harness.submit(s.ListUpdateReceived(whole))
+        harness.submit(s.Reconfigured((whole, gone, draining), ("127.0.0.1", 10), 512, harness.settings))
+        self.assertNotIn(101, harness.session.exchanges.by_id)
+        self.assertEqual(len(harness.connects), count)
+        self.assertEqual(harness.session.exchanges.by_id[102].state, i.ListState.DRAINING)
+        self.assertEqual(
+            harness.channel_connects[-1], s.ConnectChannel(("127.0.0.1", 10), 3, limits.CHANNEL_CONNECT_TIMEOUT_US)
+        )
+        self.assertEqual(harness.session.core.socket_limit, 512)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -24,8 +24,8 @@
     SECOND,
     SETTINGS,
     ControllerHarness,
-    Desk,
     Program,
+    SessionHarness,
     final_answers,
     sent_to,
     set_up,
@@ -41,59 +41,61 @@
 
 
 class Reducer(unittest.TestCase):
-    def use(self, desk: Desk, *classes: i.CallClass, **more: int) -> None:
-        settings = replace(desk.session.classes.settings, classes=classes, **more)  # type: ignore[arg-type]
-        desk.do(s.Reconfigured((), ("127.0.0.1", 9), 1024, settings))
+    def use(self, session_harness: SessionHarness, *classes: i.CallClass, **more: int) -> None:
+        settings = replace(session_harness.session.classes.settings, classes=classes, **more)  # type: ignore[arg-type]
+        session_harness.submit(s.Reconfigured((), ("127.0.0.1", 9), 1024, settings))
 
-    def taken(self, desk: Desk, message: p.SetUp) -> bool:
-        written = [m for _, m in desk.hear(1, message)]
+    def taken(self, session_harness: SessionHarness, message: p.SetUp) -> bool:
+        written = [m for _, m in session_harness.deliver(1, message)]
         return p.Release(message.call, p.ReleaseCause.INVALID_CONTENTS) not in written
 
     def test_classes_appear_at_once_and_vanish_when_their_callers_have_given_up(self) -> None:
-        desk = Desk()
-        self.assertFalse(self.taken(desk, of_class(1, "next_quote")))
-        self.use(desk, NEXT)
-        self.assertTrue(self.taken(desk, of_class(2, "next_quote")))
-        self.assertTrue(self.taken(desk, of_class(3, "premium_quote", 8000)))
-        self.assertFalse(self.taken(desk, of_class(4, "next_quote", 8000)))
-        desk.pass_time(PLAIN.give_up_us - SECOND)
-        self.assertTrue(self.taken(desk, of_class(5, "premium_quote", 500)))
-        desk.pass_time(2 * SECOND)
-        self.assertFalse(self.taken(desk, of_class(6, "premium_quote", 500)))
-        self.assertTrue(self.taken(desk, of_class(7, "next_quote")))
-        self.assertEqual(desk.figure("sighup_applied"), 1)
-        self.assertGreater(desk.figure("declined.premium_quote"), 0)  # its counts are kept
+        session_harness = SessionHarness()
+        self.assertFalse(self.taken(session_harness, of_class(1, "next_quote")))
+        self.use(session_harness, NEXT)
+        self.assertTrue(self.taken(session_harness, of_class(2, "next_quote")))
+        self.assertTrue(self.taken(session_harness, of_class(3, "premium_quote", 8000)))
+        self.assertFalse(self.taken(session_harness, of_class(4, "next_quote", 8000)))
+        session_harness.pass_time(PLAIN.give_up_us - SECOND)
+        self.assertTrue(self.taken(session_harness, of_class(5, "premium_quote", 500)))
+        session_harness.pass_time(2 * SECOND)
+        self.assertFalse(self.taken(session_harness, of_class(6, "premium_quote", 500)))
+        self.assertTrue(self.taken(session_harness, of_class(7, "next_quote")))
+        self.assertEqual(session_harness.figure("sighup_applied"), 1)
+        self.assertGreater(session_harness.figure("declined.premium_quote"), 0)  # its counts are kept
 
     def test_a_wait_of_the_class_as_it_was_is_still_good(self) -> None:
-        desk = Desk()
-        self.use(desk, replace(PLAIN, give_up_us=SECOND))
-        self.assertTrue(self.taken(desk, of_class(1, "premium_quote", 8000)))
+        session_harness = SessionHarness()
+        self.use(session_harness, replace(PLAIN, give_up_us=SECOND))
+        self.assertTrue(self.taken(session_harness, of_class(1, "premium_quote", 8000)))
 
     def test_a_class_that_moves_to_another_index_is_the_same_class(self) -> None:
-        desk = Desk()
-        desk.hear(1, set_up(1))
-        self.use(desk, NEXT, PLAIN)
-        desk.hear(1, set_up(2))
-        module = desk.session.decision_module.controller.calls
+        session_harness = SessionHarness()
+        session_harness.deliver(1, set_up(1))
+        self.use(session_harness, NEXT, PLAIN)
+        session_harness.deliver(1, set_up(2))
+        module = session_harness.session.decision_module.controller.calls
         self.assertEqual([module[1].call_class.name, module[2].call_class.name], ["premium_quote", PLAIN.name])
-        desk.hear(desk.link[1], p.Answer(1, b"yes"))
-        self.assertEqual(desk.figure("succeeded.premium_quote"), 1)
+        session_harness.deliver(session_harness.first_links[1], p.Answer(1, b"yes"))
+        self.assertEqual(session_harness.figure("succeeded.premium_quote"), 1)
 
     def test_after_sigterm_calls_of_before_are_answered_before_the_earliest_sigkill(self) -> None:
         # By the shorter of the waits before and now: which of them the deployment counts cannot be known.
         for before_us, now_us in ((9 * SECOND, SECOND // 2), (SECOND // 2, 9 * SECOND)):
-            desk = Desk()
-            self.use(desk, replace(PLAIN, name="premium_quote", give_up_us=before_us, target_us=450_000))
-            desk.pass_time_in_touch(10 * SECOND)
-            desk.do(s.Accepted(2))
-            written = desk.hear(2, set_up(1, wait_ms=min(2500, before_us // 1000)))
-            self.use(desk, replace(PLAIN, name="premium_quote", give_up_us=now_us, target_us=450_000))
-            self.assertEqual(desk.figure("outstanding"), 1)
-            desk.do(s.Terminate())
+            session_harness = SessionHarness()
+            self.use(session_harness, replace(PLAIN, name="premium_quote", give_up_us=before_us, target_us=450_000))
+            session_harness.pass_time_with_reports(10 * SECOND)
+            session_harness.submit(s.Accepted(2))
+            written = session_harness.deliver(2, set_up(1, wait_ms=min(2500, before_us // 1000)))
+            self.use(session_harness, replace(PLAIN, name="premium_quote", give_up_us=now_us, target_us=450_000))
+            self.assertEqual(session_harness.figure("outstanding"), 1)
+            session_harness.submit(s.Terminate())
             kill_us = SECOND // 2 + 700_000
-            written += desk.pass_time_in_touch(kill_us - limits.SIGKILL_MARGIN_US, tell_us=SECOND // 10)
+            written += session_harness.pass_time_with_reports(
+                kill_us - limits.SIGKILL_MARGIN_US, report_interval_us=SECOND // 10
+            )
             self.assertEqual([m.call for stream, m in written if stream == 2], [1])
-            self.assertTrue(desk.ended)
+            self.assertTrue(session_harness.exited)
 
 
 class Module(unittest.TestCase):
