--- a/latchturn/checking/plants.py
+++ b/latchturn/checking/plants.py
@@ -153,9 +153,9 @@
 @_planted_fault("rude", "a set-up with the id of an answered call is accepted as a new call")
 def _answered_id_taken() -> None:
     def wrap(original: Method) -> Method:
-        def replacement(self: Any, caller: Any, message: Any, waited_us: int) -> Any:
+        def replacement(self: Any, caller: Any, message: Any, unread_us: int) -> Any:
             self.calls.ended.pop(message.call, None)
-            return original(self, caller, message, waited_us)
+            return original(self, caller, message, unread_us)
 
         return replacement
 
--- a/latchturn/session/__init__.py
+++ b/latchturn/session/__init__.py
@@ -1,4 +1,4 @@
-"""The one reducer, by concern: see `reducer`. Here are the names that fronts use."""
+"""The reducer of the session controller, one component per concern (see `reducer`), and its public names."""
 
 from .inputs_and_effects import (
     AcceptCallers,
--- a/latchturn/session/calls.py
+++ b/latchturn/session/calls.py
@@ -1,4 +1,4 @@
-"""Calls, from their set-up to their end. The one place where a call is given back is `forget`."""
+"""Calls, from their set-up to their end. `Calls.forget` is the only place where a call leaves the table."""
 
 from __future__ import annotations
 
@@ -13,19 +13,22 @@
 
 
 class Calls(Component):
-    """Calls, from their set-up to their end. The one place where a call is given back is `forget`."""
+    """The table of open and standing calls, and the ids of recently ended ones."""
 
     def __init__(self) -> None:
         self.by_id: dict[int, Call] = {}
-        self.ended: dict[int, EndedCall] = {}  # ended calls
+        self.ended: dict[int, EndedCall] = {}  # by id, the earliest first
 
-    def offer(self, caller: Caller, set_up: SetUp, waited_us: int) -> None:
-        """Take in a set-up that can be used. Its caller counts the time from its last byte, so what a busy
-        machine left it unread comes off."""
+    def offer(self, caller: Caller, set_up: SetUp, unread_us: int) -> None:
+        """Enter the call of a valid set-up and offer it to the decision module.
+
+        Its caller waits from the last byte of the set-up on, so the time that it stayed unread on a busy machine is
+        subtracted.
+        """
         caller.trust = max(caller.trust, 1)
         self.callers.without_calls.pop(caller.ident, None)
         wait_us = set_up.wait_ms * 1000
-        deadline = self.core.now - waited_us + wait_us - min(DEADLINE_MARGIN_US, wait_us // 10)
+        deadline = self.core.now - unread_us + wait_us - min(DEADLINE_MARGIN_US, wait_us // 10)
         deadline = max(deadline, self.core.now)
         call = self.by_id[set_up.call] = Call(set_up, caller.ident, deadline)
         caller.unanswered.add(set_up.call)
@@ -48,7 +51,7 @@
         )
 
     def send_final_answer(self, ident: int, message: Answer | Release) -> None:
-        """Give a call its one final answer."""
+        """Send a call its only final answer. Does nothing if the call has ended or is standing."""
         call = self.by_id.get(ident)
         if call is None or call.standing_exchange is not None:
             return
@@ -65,21 +68,22 @@
         self.writing.queue(caller, message)
 
     def fail(self, call: Call, why: str) -> None:
-        """Fail a call over the module's head, cleanly towards all sides."""
+        """Fail an open call without the decision module: caller, decision module and exchange are all notified."""
         self.core.record(TraceEvent.CALL_FAILED, call=call.ident, stream=call.caller_stream, reason=why)
         self.send_final_answer(call.ident, Release(call.ident, ReleaseCause.TEMPORARY_FAILURE))
         self.abandon(call)
 
     def abandon(self, call: Call) -> None:
-        """Nothing is owed to the caller any more: tell the module, and give up what is out."""
+        """End an open call whose caller needs no answer: notify the decision module and give up the attempt."""
         self.forget(call)
         events = self.core.events
         offered = next((e for e in events if isinstance(e, i.CallOffered) and e.call == call.ident), None)
         if offered is not None:
-            events.remove(offered)  # the module does not know of it yet, and must not send what is no more
+            events.remove(offered)  # the decision module must not be offered a call that has ended
         else:
-            # Guards the module's counts: where several calls are left in one step, an event before their words could
-            # have one of them sent that is no more, and its end would never be told.
+            # At the head of the queue: if several calls are abandoned in one step, another event before this one could
+            # make the decision module send a set-up for an ended call. The end of that attempt would never be reported
+            # to it, so its counts would stay wrong.
             events.appendleft(i.CallerLeft(call.ident))
         if (attempt := call.attempt) is not None:
             if attempt.sent and not attempt.giving_up:
@@ -87,6 +91,7 @@
             self.attempts.end(attempt, i.Outcome.CANCELLED, concluded=True)
 
     def forget(self, call: Call, answered: bool = False) -> None:
+        """Remove a call from the table and remember its id; does nothing if it has been removed."""
         if self.by_id.pop(call.ident, None) is None:
             return
         call.state = CALL.next_state(call.state, CallTransition.FORGET)
@@ -98,26 +103,31 @@
         self.release_maybe_standing(call)
 
     def release_maybe_standing(self, call: Call) -> None:
-        """Guards the circuits of exchanges, and callers who are told of an end of what they had no answer for: a
-        connection that breaks gives up its set-ups, but not one that was answered just before. A release under the
-        id would also end a later attempt there, so it leaves once there can be none, and not where the call stands."""
+        """Release a call at each exchange where an earlier attempt may stand although its answer was lost.
+
+        An exchange gives up the set-ups of a connection that breaks, but not one that it answered just before. Without
+        the release, that call would keep circuits, and its caller would be sent an end without ever having had the
+        answer. A release also ends a later attempt under the same id, so it is sent only when no further attempt can
+        follow, and not to the exchange where the call stands.
+        """
         for ident in sorted(call.maybe_standing_at):
             if ident != call.standing_exchange and ident in self.exchanges.by_id:
                 self.exchanges.send_release(self.exchanges.by_id[ident], Release(call.ident, ReleaseCause.NORMAL))
         call.maybe_standing_at.clear()
 
     def remember_ended(self, ident: int, stood: bool, answered: bool) -> None:
+        """Remember the id of an ended call for `ENDED_CALL_TTL_US`."""
         self.ended.pop(ident, None)
         self.ended[ident] = EndedCall(self.core.now + ENDED_CALL_TTL_US, stood, answered)
 
     def remember_rejected(self, ident: int) -> None:
-        """Guards against a second answer under the id of a set-up that was turned down as it came. Not while
-        a flood has filled what is remembered."""
+        """Remember the id of a set-up that was rejected on arrival, so that it is not answered a second time. Skipped
+        while a flood of set-ups has filled the table."""
         if ident and len(self.ended) < MAX_REMEMBERED_IDS:
             self.remember_ended(ident, False, True)
 
     def end_standing(self, call: Call, outcome: i.Outcome, report: i.LoadReport | None = None) -> None:
-        """A call that stood is over."""
+        """Remove a standing call, count how it ended, and report that to the decision module."""
         at = call.standing_exchange
         assert at is not None
         self.exchanges.by_id[at].standing_calls.discard(call.ident)
@@ -137,16 +147,16 @@
         )
 
     def cut_off(self, exchange: Exchange, before_us: int, why: str) -> None:
-        """The calls that stood at an exchange before a moment are over, though it cannot say so."""
+        """End the calls standing at an exchange since before a time, which it has lost without sending a release."""
         self._cut_off(exchange, self.standing_before(exchange, before_us), why)
 
     def standing_before(self, exchange: Exchange, before_us: int) -> list[Call]:
-        """The calls that stood at an exchange before a moment, by id."""
+        """The calls standing at an exchange since before a time, in the order of their ids."""
         calls = (self.by_id[ident] for ident in sorted(exchange.standing_calls))
         return [call for call in calls if call.standing_since_us < before_us]
 
     def presume_ended(self, exchange: Exchange, calls: list[Call], why: str) -> None:
-        """Calls are taken to be over without a word from their exchange; should they go on there, it is told too."""
+        """End calls without a release from their exchange, and release them there in case they still stand."""
         self._cut_off(exchange, calls, why)
         for call in calls:
             self.exchanges.send_release(exchange, Release(call.ident, ReleaseCause.NORMAL))
@@ -159,14 +169,14 @@
             self.end_notices.send(call.caller_stream, Release(call.ident, ReleaseCause.TEMPORARY_FAILURE))
 
     def record_cut_off(self, exchange: Exchange, cut: list[Call], why: str) -> None:
-        """Record which calls are over with their exchange; the log names the first of them."""
-        shown = " ".join(f"{call.ident:016x}" for call in cut[:MAX_LOGGED_CALL_IDS])
-        quiet_ms = (self.core.now - exchange.last_received_us) // 1000
-        text = f"{why}, last heard {quiet_ms} ms ago: {len(cut)} standing calls are over: {shown}"
+        """Record which calls are lost with their exchange; the record lists the ids of the first ones."""
+        ids = " ".join(f"{call.ident:016x}" for call in cut[:MAX_LOGGED_CALL_IDS])
+        silent_ms = (self.core.now - exchange.last_received_us) // 1000
+        text = f"{why}, last message {silent_ms} ms ago: {len(cut)} standing calls ended: {ids}"
         self.core.record(TraceEvent.EXCHANGE_DEAD, exchange=exchange.ident, reason=text)
 
     def end_by_caller(self, call: Call, cause: int) -> None:
-        """The caller gives a call up, or ends it if it stands."""
+        """Give up a call, or release it at its exchange if it stands, on a release from its caller."""
         if call.standing_exchange is None:
             self.core.counters["callers_gave_up"] += 1
             self.core.record(TraceEvent.CALL_ABANDONED, call=call.ident, stream=call.caller_stream)
@@ -177,8 +187,8 @@
             self.exchanges.send_release(exchange, Release(call.ident, cause))
 
     def add_inherited(self, ident: int, exchange: int) -> None:
-        """Enter a call that stood in the process before this one. The module does not know it: the told free
-        circuits are without its own."""
+        """Enter a standing call of the predecessor. The decision module is not informed, since the number of free
+        circuits that the exchanges report already excludes it."""
         if exchange in self.exchanges.by_id and ident not in self.by_id and ident not in self.ended:
             self.core.counters["calls_inherited"] += 1
             call = self.by_id[ident] = Call(SetUp(ident, "", 0, "", b""), 0, self.core.now)
@@ -189,5 +199,5 @@
                 self.core.now,
             )
             self.exchanges.by_id[exchange].standing_calls.add(ident)
-            # Its end may be told on the links of the process before, which are being closed.
+            # Its release may be sent on the links of the predecessor, which are being closed.
             self.missed_ends.schedule_recovery_link(self.exchanges.by_id[exchange])
--- a/latchturn/session/component.py
+++ b/latchturn/session/component.py
@@ -1,4 +1,4 @@
-"""What every part of the reducer is: it knows the others by their names, once `Session` has made them all."""
+"""The base class of the components of the reducer, which gives each component access to all others by name."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Component:
-    """A part of the reducer, by concern."""
+    """A part of the reducer that owns one concern; `Session` creates all of them."""
 
     core: Core
     timers: Timers
--- a/latchturn/session/core.py
+++ b/latchturn/session/core.py
@@ -1,4 +1,4 @@
-"""What all parts share: the moment, the effects asked for, the events for the module, the counters, the trace."""
+"""The state that all components share: time, requested effects, queued events, counters and trace."""
 
 from __future__ import annotations
 
@@ -11,22 +11,23 @@
 
 
 class Core:
-    """The moment, the effects asked for in this step, the events for the module, counters and trace."""
+    """Time, effects of the current step, events for the decision module, counters, random numbers and trace."""
 
     def __init__(self, seed: int, socket_limit: int) -> None:
-        self.now = 0
-        self.socket_limit = socket_limit  # descriptors that the process may hold
+        self.now = 0  # time of the current step, microseconds
+        self.socket_limit = socket_limit  # file descriptors that the process may hold
         self.effects: list[Effect] = []
-        self.events: deque[i.Event] = deque()  # on their way to the module
+        self.events: deque[i.Event] = deque()  # not yet passed to the decision module
         self.counters: Counter[str] = Counter()
         self.random = random.Random(seed)
         self.trace = Trace()
 
     def log(self, text: str) -> None:
+        """Ask for a log line."""
         self.effects.append(Log(text))
 
     def record(self, event: TraceEvent, *, call: int = 0, exchange: int = 0, stream: int = 0, reason: str = "") -> None:
-        """Record a state change; those that are few are log lines too."""
+        """Add a state change to the trace, and to the log if its kind is in `LOGGED`."""
         record = TraceRecord(self.now, event, call, exchange, stream, reason)
         self.trace.records.append(record)
         if event in LOGGED:
--- a/latchturn/session/decision_module.py
+++ b/latchturn/session/decision_module.py
@@ -1,4 +1,4 @@
-"""The decision module: hears events, and its actions are carried out."""
+"""The adapter to the decision module: passes events to `brain.Controller` and carries out its actions."""
 
 from __future__ import annotations
 
@@ -11,20 +11,21 @@
 
 
 class DecisionModule(Component):
-    """The decision module: hears events, and its actions are carried out."""
+    """Passes events to the decision module and carries out its actions."""
 
     def __init__(self, settings: i.Settings, seed: int) -> None:
         self.controller = Controller(settings, seed)
 
     def decide(self, event: i.Event) -> None:
+        """Pass one event to the decision module and carry out the actions that it returns."""
         for action in self.controller.handle(self.core.now, event):
             if isinstance(action, i.SendSetup):
                 self.attempts.begin(action)
             elif isinstance(action, i.Refuse):
                 self.record_final(TraceEvent.CALL_REFUSED, action)
-                stay_ms = -(-action.retry_after_us // 1000)
+                retry_after_ms = -(-action.retry_after_us // 1000)
                 self.calls.send_final_answer(
-                    action.call, Release(action.call, ReleaseCause.CONGESTION, retry_after_ms=stay_ms)
+                    action.call, Release(action.call, ReleaseCause.CONGESTION, retry_after_ms=retry_after_ms)
                 )
             elif isinstance(action, i.Fail):
                 self.record_final(TraceEvent.CALL_FAILED, action)
@@ -33,9 +34,9 @@
                 self.timers.set(action.delay_us, TimerKind.DECISION_MODULE, action.token)
             elif isinstance(action, i.Log):
                 self.core.log(action.text)
-            # SubscribeToList asks for nothing: the command channel is always followed.
+            # SubscribeToList needs no action: the command channel is always connected.
 
     def record_final(self, event: TraceEvent, action: i.Refuse | i.Fail) -> None:
-        """Record and count why the module turns a call down."""
+        """Record and count why the decision module refuses or fails a call."""
         self.core.counters[f"{event.name.lower()}.{action.reason.name.lower()}"] += 1
         self.core.record(event, call=action.call, reason=action.reason.value)
--- a/latchturn/session/inputs_and_effects.py
+++ b/latchturn/session/inputs_and_effects.py
@@ -1,7 +1,8 @@
-"""The words in which the reducer and its fronts talk: what has happened, and what is to be done.
+"""The inputs that the reducer takes and the effects that it asks for, as plain values.
 
-Plain values only. Streams are connections: those accepted are numbered from 1 up by the caller of `step`,
-links to exchanges from -1 down by the reducer. Times are microseconds on the clock handed to `step`.
+An input reports what has happened outside; an effect is a request to the sockets, the log or the other process. A
+stream is the number of a connection: the caller of `Session.step` numbers accepted connections from 1 up, the reducer
+numbers its links to exchanges from -1 down. Times are in microseconds on the clock handed to `step`.
 """
 
 from __future__ import annotations
@@ -12,44 +13,48 @@
 from .. import operations
 from ..protocol import ListUpdate, Message
 
-# --- what has happened ---
+# --- inputs ---
 
 
 @dataclass(slots=True, frozen=True)
 class Started:
-    """The program runs; the list of exchanges as the configuration holds it."""
+    """The program has started, with the exchange list that its configuration holds."""
 
-    known: tuple[ListUpdate, ...]
-    cursor: int  # the number of the last event in it
+    list_updates: tuple[ListUpdate, ...]
+    cursor: int  # the number of the last of these updates
     channel: tuple[str, int] = ("", 0)  # address of the command channel
-    replaces: bool = False  # whether another process serves at the address until this one does
+    replaces: bool = False  # whether another process serves at the listen address until this one is ready
 
 
 @dataclass(slots=True, frozen=True)
 class Reconfigured:
-    """A new configuration that can be used has been read while the program runs."""
+    """A valid new configuration has been read while the program runs."""
 
-    known: tuple[ListUpdate, ...]
-    channel: tuple[str, int]
-    socket_limit: int
+    list_updates: tuple[ListUpdate, ...]
+    channel: tuple[str, int]  # address of the command channel
+    socket_limit: int  # file descriptors that the process may hold
     settings: i.Settings
 
 
 @dataclass(slots=True, frozen=True)
 class Accepted:
+    """A caller's connection has been accepted."""
+
     stream: int
 
 
 @dataclass(slots=True, frozen=True)
 class MessageReceived:
+    """A complete message has been read from a stream."""
+
     stream: int
     message: Message
-    waited_us: int = 0  # how long it may have lain unread
+    unread_us: int = 0  # the longest time that it may have been waiting in the socket
 
 
 @dataclass(slots=True, frozen=True)
 class MalformedInput:
-    """Input that cannot be read; nothing more is read from the stream."""
+    """The input of a stream cannot be decoded; nothing more is read from it."""
 
     stream: int
     reason: str
@@ -57,82 +62,90 @@
 
 @dataclass(slots=True, frozen=True)
 class PartialMessage:
-    """Whether the input read last ends within a message; told when it does, and when it does no more."""
+    """The input read last ends within a message (`partial`), or no longer does."""
 
     stream: int
-    half: bool
+    partial: bool
 
 
 @dataclass(slots=True, frozen=True)
 class EndOfInput:
-    """The peer sends no more, but may still read."""
+    """The peer has closed its sending side; it may still read."""
 
     stream: int
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectionClosed:
+    """A connection is closed in both directions: reset by the peer, or closed on request."""
+
     stream: int
 
 
 @dataclass(slots=True, frozen=True)
 class Connected:
+    """A connect to an exchange has succeeded."""
+
     stream: int
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectFailed:
+    """A connect to an exchange has failed."""
+
     stream: int
-    refused: bool
+    refused: bool  # else it timed out, or no descriptor was free
 
 
 @dataclass(slots=True, frozen=True)
 class WriteCompleted:
-    """The last `Write` on the stream is through."""
+    """The last `Write` on the stream is complete: the socket has taken all its bytes."""
 
     stream: int
 
 
 @dataclass(slots=True, frozen=True)
 class ListUpdateReceived:
+    """The command channel has delivered a frame."""
+
     update: ListUpdate
 
 
 @dataclass(slots=True, frozen=True)
 class ChannelLost:
-    """The connection to the command channel that the last `ConnectChannel` asked for is no more."""
+    """The connection to the command channel that the last `ConnectChannel` asked for has failed or ended."""
 
     reason: str
 
 
 @dataclass(slots=True, frozen=True)
 class Tick:
-    """A timer may be due."""
+    """Time has passed, and a timer may be due."""
 
 
 @dataclass(slots=True, frozen=True)
 class AdminRequest:
-    """A line at the admin listener; no command if it is none of an operator's. It is answered with a `Reply`."""
+    """A line received by the admin listener; the reducer answers it with a `Reply`."""
 
     connection: int
-    command: operations.Command | None
+    command: operations.Command | None  # None if the line is not a known command
 
 
 @dataclass(slots=True, frozen=True)
 class ListenerReady:
-    """The listener for callers serves."""
+    """The socket that listens for callers is open."""
 
 
 @dataclass(slots=True, frozen=True)
 class SuccessorChanged:
-    """Whether a successor serves at the address; it was one that did, if not."""
+    """A successor serves at the listen address from now on, or one that did has ended."""
 
     serves: bool
 
 
 @dataclass(slots=True, frozen=True)
 class OtherProcessUsage:
-    """How many descriptors and calls the process before or after this one holds."""
+    """How many file descriptors and calls the predecessor or successor process holds."""
 
     descriptors: int
     calls: int = 0
@@ -140,7 +153,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CallInherited:
-    """A call that stood at an exchange in the process before this one, which ends."""
+    """A standing call that the predecessor hands over as it exits, with its exchange."""
 
     call: int
     exchange: int
@@ -148,7 +161,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReleaseForwarded:
-    """A caller has told the other process that a call is over which may be one of this one's."""
+    """A caller has sent the other process a release of a call that may belong to this process."""
 
     call: int
     cause: int
@@ -156,14 +169,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ConfigRejected:
-    """A file read on SIGHUP cannot be used."""
+    """The configuration file read on SIGHUP is invalid."""
 
     reason: str
 
 
 @dataclass(slots=True, frozen=True)
 class Terminate:
-    """The program is to finish what it has taken, then end."""
+    """SIGTERM: the program is to answer its open calls, then exit."""
 
 
 Input = (
@@ -174,11 +187,13 @@
 )  # fmt: skip
 
 
-# --- what is to be done ---
+# --- effects ---
 
 
 @dataclass(slots=True, frozen=True)
 class Connect:
+    """Connect to an exchange; `Connected` or `ConnectFailed` follows."""
+
     stream: int
     address: tuple[str, int]
     timeout_us: int
@@ -186,7 +201,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Write:
-    """Write the messages; no other write on the stream is asked for until `WriteCompleted`."""
+    """Write the messages; the next `Write` on the stream follows only after `WriteCompleted`."""
 
     stream: int
     messages: tuple[Message, ...]
@@ -194,42 +209,44 @@
 
 @dataclass(slots=True, frozen=True)
 class Close:
+    """Close the connection at once."""
+
     stream: int
 
 
 @dataclass(slots=True, frozen=True)
 class CloseIdle:
-    """Close if nothing lies unread on the stream; until `ConnectionClosed` it is as it was."""
+    """Close the connection if it has no unread input; nothing changes before `ConnectionClosed`."""
 
     stream: int
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectChannel:
-    """Connect to the command channel in place of any connection to it; ask for what follows an event."""
+    """Connect to the command channel in place of any open connection to it, and ask for later updates."""
 
     address: tuple[str, int]
-    cursor: int
+    cursor: int  # number of the last update received
     timeout_us: int  # of the connect
 
 
 @dataclass(slots=True, frozen=True)
 class AcceptCallers:
-    """Accept connections from now on, as the one process at the address, or no more."""
+    """Start or stop accepting connections; only one process at the listen address accepts them at a time."""
 
     on: bool
 
 
 @dataclass(slots=True, frozen=True)
 class HandOverCalls:
-    """Tell the successor of calls that stand, each with its exchange: this process ends."""
+    """Send the standing calls to the successor as this process exits."""
 
-    calls: tuple[tuple[int, int], ...]
+    calls: tuple[tuple[int, int], ...]  # id of the call, id of its exchange
 
 
 @dataclass(slots=True, frozen=True)
 class ForwardRelease:
-    """Tell the other process that a call is over."""
+    """Send the other process the release of a call that this process does not know."""
 
     call: int
     cause: int
@@ -237,7 +254,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reply:
-    """Answer a connection at the admin listener, and close."""
+    """Answer a connection of the admin listener, then close it."""
 
     connection: int
     data: bytes
@@ -245,12 +262,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Log:
+    """Write a line to the log."""
+
     text: str
 
 
 @dataclass(slots=True, frozen=True)
 class Exit:
-    pass
+    """End the program."""
 
 
 Effect = (
--- a/latchturn/session/reducer.py
+++ b/latchturn/session/reducer.py
@@ -1,9 +1,9 @@
-"""The one reducer: what has happened goes in with its time, what is to be done comes out.
+"""The reducer: takes inputs with their times and returns the effects to run.
 
-Here the parts meet: an input goes to the part that owns what it is about, the module answers all events
-that came up, timers run, and what waits is written. All state changes below `step`. It must never touch a
-socket, a clock or a byte layout, and it takes no decision of the module's: the parts only keep the rules
-that hold whatever the module asks for.
+`Session` passes each input to the component that owns its subject, runs the timers that are due, passes the resulting
+events to the decision module, and writes the queued messages. All state changes happen in `Session.step`. The reducer
+never uses a socket, a clock or a byte layout, and makes no routing decision: its components only enforce the rules that
+hold whatever the decision module asks for.
 """
 
 from __future__ import annotations
@@ -63,7 +63,7 @@
 
 
 class Session(Component):
-    """The state of one session controller."""
+    """The state of one session controller, divided among its components."""
 
     def __init__(self, settings: i.Settings, seed: int, socket_limit: int) -> None:
         self.core = Core(seed, socket_limit)
@@ -89,8 +89,8 @@
         self.classes.apply(settings, None)
 
     def step(self, now_us: int, input_: Input) -> list[Effect]:
-        """Take in one input; the effects are to be run in their order."""
-        self.core.now = max(self.core.now, now_us)  # guards the module against a clock that is set back
+        """Process one input and return its effects, which must be run in this order."""
+        self.core.now = max(self.core.now, now_us)  # a clock that is set back must not reach the decision module
         self.core.effects = []
         try:
             self._dispatch(input_)
@@ -103,15 +103,15 @@
         return self.core.effects
 
     def wake_us(self) -> int | None:
-        """When the next timer is due."""
+        """When the next timer is due, None if there is none."""
         return self.timers.heap[0][0] if self.timers.heap else None
 
     def _handle_fault(self, call: int) -> None:
-        """Guards against faults of our own: one event's fault must not end the others' calls."""
+        """Log an internal error and fail the open call that it concerns, so that it does not affect other calls."""
         self._log_fault(call)
         if call in self.calls.by_id and self.calls.by_id[call].standing_exchange is None:
             try:
-                self.calls.fail(self.calls.by_id[call], "a fault of the program")
+                self.calls.fail(self.calls.by_id[call], "internal error")
             except Exception:  # noqa: BLE001
                 self._log_fault(call)
 
@@ -121,11 +121,11 @@
 
     def _dispatch(self, input_: Input) -> None:
         match input_:
-            case MessageReceived(stream, message, waited_us):
+            case MessageReceived(stream, message, unread_us):
                 if stream in self.links.by_stream:
                     self.exchanges.message_received(self.links.by_stream[stream], message)
                 elif stream in self.callers.by_stream:
-                    self.callers.receive(self.callers.by_stream[stream], message, waited_us)
+                    self.callers.receive(self.callers.by_stream[stream], message, unread_us)
             case WriteCompleted(stream):
                 self.writing.write_completed(stream)
             case Tick():
@@ -137,13 +137,13 @@
                 if stream in self.callers.by_stream:
                     self.callers.shut(self.callers.by_stream[stream], reason)
                 else:
-                    self.core.log(f"link {stream} sent what cannot be read: {reason}")
+                    self.core.log(f"link {stream} sent malformed input: {reason}")
                     self.writing.input_ended(stream, CloseReason.GARBLED)
-            case PartialMessage(stream, half):
+            case PartialMessage(stream, partial):
                 if stream in self.links.by_stream:
-                    self.links.partial_message_changed(self.links.by_stream[stream], half)
+                    self.links.partial_message_changed(self.links.by_stream[stream], partial)
                 elif stream in self.callers.by_stream:
-                    self.callers.set_partial(self.callers.by_stream[stream], half)
+                    self.callers.set_partial(self.callers.by_stream[stream], partial)
             case EndOfInput(stream):
                 self.writing.input_ended(stream)
             case ConnectionClosed(stream):
@@ -173,26 +173,26 @@
                 self.phases.successor_changed(serves)
             case ConfigRejected(reason):
                 self.core.counters["sighup_rejected"] += 1
-                self.core.log(f"new configuration cannot be used, the old one stays: {reason}")
-            case Started(known, cursor, channel, replaces):
+                self.core.log(f"new configuration is invalid, the old one stays in use: {reason}")
+            case Started(list_updates, cursor, channel, replaces):
                 self.phases.replaces_predecessor = replaces
-                self.phases.start(known, cursor)
+                self.phases.start(list_updates, cursor)
                 self.channel.connect(channel)
-            case Reconfigured(known, channel, socket_limit, settings):
-                self._reconfigure(known, channel, socket_limit, settings)
+            case Reconfigured(list_updates, channel, socket_limit, settings):
+                self._reconfigure(list_updates, channel, socket_limit, settings)
             case Terminate():
                 self.phases.terminate()
 
     def _reconfigure(
         self,
-        known: tuple[ListUpdate, ...],
+        list_updates: tuple[ListUpdate, ...],
         channel: tuple[str, int],
         socket_limit: int,
         settings: i.Settings,
     ) -> None:
-        # The events of the file that are not known yet count; its whole list of the start is old.
-        for event in known:
-            self.exchanges.apply_list_update(event)
+        # The file's updates that are newer than the last one received apply; its initial full list is outdated.
+        for update in list_updates:
+            self.exchanges.apply_list_update(update)
         self.core.socket_limit = socket_limit
         if settings != self.classes.configured:
             self.classes.apply(settings, self.classes.settings)
@@ -203,7 +203,7 @@
         self.channel.change_address(channel)
 
     def _process_pending(self) -> None:
-        """Let the module answer all that came up, then write."""
+        """Pass all queued events to the decision module, then write what is queued on the streams."""
         while self.core.events or self.writing.pending:
             if self.core.events:
                 event = self.core.events.popleft()
@@ -225,51 +225,51 @@
                 self._timer_due(timer.kind, timer.subject)
             except Exception:  # noqa: BLE001
                 self._handle_fault(0)
-            self._process_pending()  # what the module answers to one timer may end what the next is about
+            self._process_pending()  # the decision module's reaction to one timer may end the subject of the next
 
-    def _timer_due(self, kind: TimerKind, what: object) -> None:
-        if kind is TimerKind.DECISION_MODULE and isinstance(what, int):
-            self.core.events.append(i.TimerDue(what))
-        elif kind is TimerKind.DEADLINE and isinstance(what, Call):
-            if self.calls.by_id.get(what.ident) is what and what.standing_exchange is None:
+    def _timer_due(self, kind: TimerKind, subject: object) -> None:
+        if kind is TimerKind.DECISION_MODULE and isinstance(subject, int):
+            self.core.events.append(i.TimerDue(subject))
+        elif kind is TimerKind.DEADLINE and isinstance(subject, Call):
+            if self.calls.by_id.get(subject.ident) is subject and subject.standing_exchange is None:
                 self.core.counters["overdue"] += 1
-                self.calls.fail(what, "its deadline has come")
-        elif kind is TimerKind.ATTEMPT and isinstance(what, Attempt):
-            if what.call.attempt is what:
-                self.attempts.timed_out(what)
-        elif kind is TimerKind.GIVE_UP and isinstance(what, Attempt):
-            if what.call.attempt is what:
-                self.writing.drop(what.link, CloseReason.GIVE_UP_STUCK)
-        elif kind is TimerKind.PARTIAL_MESSAGE and isinstance(what, Link):
-            if self.links.by_stream.get(what.ident) is what and what.partial_since_us:
-                self.links.partial_message_timeout(what)
-        elif kind is TimerKind.RECONNECT and isinstance(what, Exchange):
-            self.links.ensure_kept_links(what)
-        elif kind is TimerKind.CHANNEL and what == self.channel.connect_count:
+                self.calls.fail(subject, "no answer by its deadline")
+        elif kind is TimerKind.ATTEMPT and isinstance(subject, Attempt):
+            if subject.call.attempt is subject:
+                self.attempts.timed_out(subject)
+        elif kind is TimerKind.GIVE_UP and isinstance(subject, Attempt):
+            if subject.call.attempt is subject:
+                self.writing.drop(subject.link, CloseReason.GIVE_UP_STUCK)
+        elif kind is TimerKind.PARTIAL_MESSAGE and isinstance(subject, Link):
+            if self.links.by_stream.get(subject.ident) is subject and subject.partial_since_us:
+                self.links.partial_message_timeout(subject)
+        elif kind is TimerKind.RECONNECT and isinstance(subject, Exchange):
+            self.links.ensure_kept_links(subject)
+        elif kind is TimerKind.CHANNEL and subject == self.channel.connect_count:
             self.channel.connect(self.channel.address)
         elif kind is TimerKind.TERM:
             self.phases.sigterm_timer_due()
         elif kind is TimerKind.CLOSE:
             self.phases.close_idle_for_exit()
-        elif kind is TimerKind.DRAIN and what == self.phases.drain_count:
+        elif kind is TimerKind.DRAIN and subject == self.phases.drain_count:
             self.phases.close_drained()
         elif kind is TimerKind.SWEEP:
             self.housekeeping.sweep()
 
     def figures(self) -> dict[str, int]:
-        """Every figure as it is now, by its name."""
+        """All counters and gauges by name, with their current values."""
         return self.phases.figures()
 
     @property
     def counters(self) -> Counter[str]:
-        """What has been counted; fronts count their own faults here too."""
+        """All counters; the socket layer counts its own errors here too."""
         return self.core.counters
 
     def trace_lines(self) -> list[str]:
-        """The last state changes with their reasons, one a line, the oldest first."""
+        """The most recent state changes with their reasons, one per line, the oldest first."""
         return list(self.core.trace.lines())
 
     @property
     def phase(self) -> Phase:
-        """What the program is at."""
+        """The phase that operators see."""
         return self.phases.phase
--- a/latchturn/session/state.py
+++ b/latchturn/session/state.py
@@ -19,66 +19,66 @@
 
 @dataclass(slots=True)
 class EndedCall:
-    """What is kept of an ended call."""
+    """What is remembered of an ended or rejected call, to recognize late messages that bear its id."""
 
     remembered_until_us: int
-    stood: bool
-    answered: bool
-    resend_count: int = 0  # how often its release has been sent again
+    stood: bool  # whether it was answered by an exchange
+    answered: bool  # whether its caller got a final answer
+    resend_count: int = 0  # how often its release has been sent again to callers
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """A call from its set-up to its final answer, or to its end if it stood."""
+    """A call from its set-up to its final answer or, if it is answered, to its end."""
 
     set_up: SetUp
     caller_stream: int
-    deadline_us: int
+    deadline_us: int  # for the final answer
     timer: Timer | None = None
     attempt_count: int = 0
-    attempt: Attempt | None = None
+    attempt: Attempt | None = None  # the outstanding one
     state: CallState = CallState.OWED
     standing_since_us: int = 0
-    standing_exchange: int | None = None
-    answer_link: int = 0  # link (stream number) on which it was answered
-    end_missed_since_us: int = 0  # since when its end may have been told unheard, once that link is lost
-    used_slots: set[tuple[int, int]] = field(default_factory=set)  # exchange and slot of earlier attempts
-    maybe_standing_at: set[int] = field(
-        default_factory=set
-    )  # exchanges where an attempt may stand though its answer is lost
+    standing_exchange: int | None = None  # id of the exchange that answered
+    answer_link: int = 0  # stream of the link on which it was answered
+    end_missed_since_us: int = 0  # if that link is lost: its end may have been sent, and lost, since this time
+    used_slots: set[tuple[int, int]] = field(default_factory=set)  # exchange id and slot of each attempt so far
+    maybe_standing_at: set[int] = field(default_factory=set)  # ids of exchanges that may have answered, answer lost
 
     @property
     def ident(self) -> int:
+        """The id that its caller gave it."""
         return self.set_up.call
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """A set-up that is on its way to an exchange or waits there for its answer."""
+    """A set-up that is queued for an exchange, or sent to it and not answered yet."""
 
     call: Call
-    number: int
+    number: int  # among the attempts of its call, from 0
     link: Link
     started_us: int
-    due_us: int
+    due_us: int  # when it times out
     timer: Timer | None = None
-    link_changes: int = 0  # to another link, before it was sent
+    link_changes: int = 0  # how often it has moved to another link before it was sent
     state: AttemptState = AttemptState.QUEUED
     sent_us: int = 0
 
     @property
     def sent(self) -> bool:
-        """Whether its bytes have begun to leave, as long as it is not over."""
+        """Whether its set-up has been handed over for writing, and the attempt has not ended."""
         return self.state is not AttemptState.QUEUED and self.state is not AttemptState.OVER
 
     @property
     def giving_up(self) -> bool:
+        """Whether it has timed out and its give-up is still to be written."""
         return self.state is AttemptState.GIVING_UP
 
 
 @dataclass(slots=True, frozen=True)
 class PendingGiveUp:
-    """Outbox item: the give-up of an attempt that timed out; the attempt ends once it is written."""
+    """Outbox item: the give-up of an attempt that timed out. The attempt ends when it is written."""
 
     attempt: Attempt
 
@@ -88,16 +88,16 @@
 
 @dataclass(slots=True, eq=False)
 class Stream:
-    """One connection: what waits to be written, and the releases of standing calls written lately."""
+    """A connection: the messages to be written, those being written, and the releases not confirmed yet."""
 
     ident: int
     state: StreamState = StreamState.CONNECTING
-    up: bool = False  # whether it can be written to, as its state says
+    up: bool = False  # whether it can be written to; follows from `state`
     outbox: deque[Outgoing] = field(default_factory=deque)
-    in_flight: list[Outgoing] = field(default_factory=list)
+    in_flight: list[Outgoing] = field(default_factory=list)  # the write under way
     write_started_us: int = 0
     partial_since_us: int = 0  # since when its input ends within a message, 0 if it does not
-    unconfirmed: dict[int, tuple[int, Release]] = field(default_factory=dict)  # call -> when written, what
+    unconfirmed: dict[int, tuple[int, Release]] = field(default_factory=dict)  # call id -> time of the write, release
 
     def change_state(self, transition: StreamTransition) -> None:
         """Go on to the next state; InvalidTransition if the table has none."""
@@ -107,22 +107,25 @@
 
 @dataclass(slots=True, eq=False)
 class Caller(Stream):
-    unanswered: set[int] = field(default_factory=set)  # calls set up on it that have no final answer
+    """A connection from a caller; several calls may be set up on it."""
+
+    unanswered: set[int] = field(default_factory=set)  # ids of calls set up on it without a final answer
     accepted_us: int = 0
-    last_active_us: int = 0
-    sent_anything: bool = False  # whether it has been sent anything
-    ends_resent: bool = False  # whether the ends in the present write have been sent another way
-    trust: int = 0  # 1 once it has sent a set-up that can be used, 2 once a call of its has stood
-    faults: int = 0  # messages of no use lately
-    close_reason: CloseReason | None = None  # why it is asked to be closed once nothing lies unread on it
+    last_active_us: int = 0  # when it last sent anything
+    sent_anything: bool = False  # whether any message but a confirmation has been written to it
+    ends_resent: bool = False  # whether the releases in the write under way have been sent on another connection too
+    trust: int = 0  # 1 after a valid set-up, 2 after an answered call
+    faults: int = 0  # useless messages, less those forgiven
+    close_reason: CloseReason | None = None  # set while it is to be closed as soon as no input is unread
 
     @property
     def finishing(self) -> bool:
-        """Nothing more is taken from it; it is closed once all answers are written."""
+        """Whether its input is ignored; it is closed as soon as all answers are written."""
         return self.state is StreamState.FINISHING
 
     @property
     def idle(self) -> bool:
+        """Whether no call waits for an answer on it and no message waits to be written."""
         return not (self.unanswered or self.outbox or self.in_flight)
 
 
--- a/latchturn/session/timers.py
+++ b/latchturn/session/timers.py
@@ -1,4 +1,4 @@
-"""The timers: the one heap, and the one place where a timer is set and withdrawn."""
+"""The timers of the reducer. This is the only place where a timer is set and cancelled."""
 
 from __future__ import annotations
 
@@ -11,35 +11,38 @@
 
 @dataclass(slots=True, eq=False)
 class Timer:
-    """`subject` None: it was withdrawn, and nothing hangs on it any more."""
+    """An entry of the heap. A cancelled timer stays there with `subject` None until it is due."""
 
     kind: TimerKind
     subject: object
 
 
 class TimerKind(Enum):
-    DECISION_MODULE = auto()  # a token of the module's
-    DEADLINE = auto()  # of a call
-    ATTEMPT = auto()  # time-out
-    GIVE_UP = auto()  # its bytes should have left
-    RECONNECT = auto()  # to an exchange
-    PARTIAL_MESSAGE = auto()  # a link's message should be whole
-    READY = auto()  # what is not told by now is not waited for
-    DRAIN = auto()  # idle connections are to be closed
-    CHANNEL = auto()  # the command channel is to be asked again
-    SWEEP = auto()
-    TERM = auto()
-    CLOSE = auto()  # idle connections are to be closed as the program ends
+    """What is due, and in the comments what `Timer.subject` is."""
+
+    DECISION_MODULE = auto()  # a timer of the decision module; subject: its token
+    DEADLINE = auto()  # the final answer of a call; subject: the call
+    ATTEMPT = auto()  # the time-out of an attempt; subject: the attempt
+    GIVE_UP = auto()  # the write of a give-up; subject: the attempt
+    RECONNECT = auto()  # the next connect to an exchange; subject: the exchange
+    PARTIAL_MESSAGE = auto()  # the rest of a partial message on a link; subject: the link
+    READY = auto()  # the end of the wait for group states after the start; it only wakes the reducer
+    DRAIN = auto()  # the next search for idle connections during a drain; subject: the number of the drain
+    CHANNEL = auto()  # the next connect to the command channel; subject: the number of connects before
+    SWEEP = auto()  # the next run of the housekeeping
+    TERM = auto()  # one of the time limits after SIGTERM
+    CLOSE = auto()  # the next search for idle connections before the exit
 
 
 class Timers(Component):
-    """The timers: the one heap, and the one place where a timer is set and withdrawn."""
+    """A heap of timers, ordered by due time and then by the order in which they were set."""
 
     def __init__(self) -> None:
         self.heap: list[tuple[int, int, Timer]] = []
         self.sequence = 0
 
     def set(self, delay_us: int, kind: TimerKind, subject: object = None) -> Timer:
+        """Set a timer that is due after `delay_us`."""
         self.sequence += 1
         timer = Timer(kind, subject)
         heapq.heappush(self.heap, (self.core.now + delay_us, self.sequence, timer))
@@ -47,6 +50,6 @@
 
     @staticmethod
     def cancel(timer: Timer | None) -> None:
-        """Guards the memory: a call that is over must not hang on a timer for its whole wait."""
+        """Cancel a timer and drop its subject, which would otherwise stay in memory until the timer is due."""
         if timer is not None:
             timer.subject = None
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -63,7 +63,7 @@
         self.harness.pass_time(SECOND)
         self.harness.session.calls.cut_off(self.harness.session.exchanges.by_id[101], self.harness.now, "is gone")
         (dead,) = self.records(TraceEvent.EXCHANGE_DEAD)
-        self.assertIn("last heard 1000 ms ago: 1 standing calls are over: 0000000000000005", dead.reason)
+        self.assertIn("last message 1000 ms ago: 1 standing calls ended: 0000000000000005", dead.reason)
 
     def test_the_trace_is_bounded(self) -> None:
         for k in range(1, TRACE_LENGTH + 10):
