--- a/latchturn/checking/plants.py
+++ b/latchturn/checking/plants.py
@@ -307,7 +307,7 @@
 
         return replacement
 
-    _replace_method(callers.Callers, "lose", wrap)
+    _replace_method(callers.Callers, "remove", wrap)
 
 
 @_planted_fault("mini", "a standing call that its caller ends is not released at its exchange")
--- a/latchturn/session/attempts.py
+++ b/latchturn/session/attempts.py
@@ -1,4 +1,7 @@
-"""Attempts, from the word of the module to their end. The one place where an attempt ends is `end`."""
+"""Attempts, from the decision module's `SendSetup` to their end.
+
+`Attempts.end` is the only place where an attempt ends without an answer; `Attempts.detach` frees it in either case.
+"""
 
 from __future__ import annotations
 
@@ -13,12 +16,13 @@
 
 
 class Attempts(Component):
-    """Attempts, from the word of the module to their end. The one place where an attempt ends is `end`."""
+    """Starts, times out and ends attempts. They are kept in their calls and links."""
 
     def begin(self, action: i.SendSetup) -> None:
+        """Start an attempt and queue its set-up on a link; report `NOT_SENT` at once if no link can take it."""
         call = self.calls.by_id.get(action.call)
         if call is None or call.standing_exchange is not None or call.attempt is not None:
-            raise RuntimeError("the module sent a set-up for a call that may have none")
+            raise RuntimeError("the decision module sent a set-up for a call that has ended, stands or has an attempt")
         exchange = self.exchanges.by_id.get(action.exchange)
         number = call.attempt_count
         call.attempt_count += 1
@@ -28,50 +32,57 @@
             return
         call.used_slots.add((exchange.ident, slot))
         link = exchange.links.get(slot) or self.links.connect(exchange, slot)
-        timeout = action.timeout_us or call.deadline_us - self.core.now
-        due = min(self.core.now + timeout, call.deadline_us)
-        call.attempt = Attempt(call, number, link, self.core.now, due)
+        timeout_us = action.timeout_us or call.deadline_us - self.core.now
+        due_us = min(self.core.now + timeout_us, call.deadline_us)
+        call.attempt = Attempt(call, number, link, self.core.now, due_us)
         link.attempts.add(call.attempt)
         self.core.counters["attempts"] += 1
-        call.attempt.timer = self.timers.set(due - self.core.now, TimerKind.ATTEMPT, call.attempt)
+        call.attempt.timer = self.timers.set(due_us - self.core.now, TimerKind.ATTEMPT, call.attempt)
         self.writing.queue(link, call.attempt)
 
     @staticmethod
     def free_slot(exchange: Exchange, call: Call) -> int | None:
-        """The link for an attempt: one of its own among the call's attempts at an exchange, since the id is
-        the same on each and a late answer to an earlier one could not be told from its own. Links that are
-        half read come last, since what is behind a spoilt message is lost, and so do those on which the last attempt
-        timed out unheard."""
+        """The slot of the link for an attempt, None if all have been used for the call.
+
+        Each attempt of a call at an exchange uses another link: all have the id of the call, so a late answer to an
+        earlier one could not be told from the answer to this one. Two kinds of links come last: those with a partial
+        message, since messages behind a truncated one are lost, and those on which no message was received while the
+        last attempt timed out.
+        """
         free = [k for k in range(MAX_LINKS_PER_EXCHANGE) if (exchange.ident, k) not in call.used_slots]
-        poor = {k for k, link in exchange.links.items() if link.partial_since_us or link.unanswered_timeouts}
-        return next((k for k in free if k not in poor), free[0] if free else None)
+        avoided = {k for k, link in exchange.links.items() if link.partial_since_us or link.unanswered_timeouts}
+        return next((k for k in free if k not in avoided), free[0] if free else None)
 
     def timed_out(self, attempt: Attempt) -> None:
+        """End an attempt that was never sent, else queue its give-up, or close its link if that is unresponsive."""
         if not attempt.sent:
             self.end(attempt, i.Outcome.UNREACHABLE)
             return
         attempt.state = ATTEMPT.next_state(attempt.state, AttemptTransition.TIME_OUT)
         link = attempt.link
         link.unanswered_timeouts = link.unanswered_timeouts + 1 if link.last_received_us < attempt.sent_us else 0
-        others = [
+        others_received_us = [
             k.last_received_us for k in self.exchanges.by_id[link.exchange_id].links.values() if k is not link and k.up
         ]
-        if link.unanswered_timeouts and self.is_unresponsive(attempt, others):
+        if link.unanswered_timeouts and self.is_unresponsive(attempt, others_received_us):
             self.links.drop_unresponsive(link)
             return
         if link.unanswered_timeouts:
             self.liveness.probe_after_timeout(self.exchanges.by_id[link.exchange_id])
-        # The give-up leaves before the module hears of the time-out, so that no two attempts are ever out.
+        # The time-out is reported only when the give-up is written, so that two attempts are never outstanding.
         self.writing.queue(attempt.link, PendingGiveUp(attempt))
         attempt.timer = self.timers.set(GIVE_UP_TIMEOUT_US, TimerKind.GIVE_UP, attempt)
 
-    def is_unresponsive(self, attempt: Attempt, others_heard_us: list[int]) -> bool:
-        """Whether a link on which nothing has been heard since an attempt left is of no use any more: others have
-        heard something, or there are none and no call needs it."""
+    def is_unresponsive(self, attempt: Attempt, others_received_us: list[int]) -> bool:
+        """Whether to close a link on which no message has been received since an attempt was sent.
+
+        That is so if another link of the exchange has received one since, or without other links after
+        `MAX_UNANSWERED_TIMEOUTS` such attempts; never if the link is the last to prove that standing calls still stand.
+        """
         if self.liveness.is_last_proof_link(attempt.link):
             return False
-        if others_heard_us:
-            return max(others_heard_us) > attempt.sent_us + UNRESPONSIVE_US
+        if others_received_us:
+            return max(others_received_us) > attempt.sent_us + UNRESPONSIVE_US
         return attempt.link.unanswered_timeouts >= MAX_UNANSWERED_TIMEOUTS
 
     def end(
@@ -82,7 +93,7 @@
         cause: i.Cause = i.Cause.NONE,
         report: i.LoadReport | None = None,
     ) -> None:
-        """It came to nothing: the module hears how."""
+        """End an attempt without an answer and report how to the decision module."""
         call = attempt.call
         self.detach(attempt)
         self.core.counters[f"attempts_{outcome.name.lower()}"] += 1
@@ -98,14 +109,14 @@
         )  # fmt: skip
 
     def detach(self, attempt: Attempt) -> None:
-        """Its link, its timer and its place in the call are free again."""
+        """Free the link, the timer and the call of an attempt that is answered or ends."""
         attempt.state = ATTEMPT.next_state(attempt.state, AttemptTransition.END)
         attempt.link.attempts.discard(attempt)
         self.timers.cancel(attempt.timer)
         attempt.call.attempt = None
 
     def prepare_set_up(self, attempt: Attempt) -> SetUp | None:
-        """The set-up of an attempt as its bytes leave, if it still may."""
+        """The set-up to write for an attempt, None if the attempt has ended or may not be sent any more."""
         call = attempt.call
         if call.attempt is not attempt or self.core.now >= attempt.due_us:
             return None
@@ -118,5 +129,5 @@
             TraceEvent.ATTEMPT_SENT, call=call.ident, exchange=attempt.link.exchange_id, stream=attempt.link.ident
         )
         wait_ms = max(1, (attempt.due_us - self.core.now) // 1000)
-        old = call.set_up
-        return SetUp(old.call, old.class_name, wait_ms, old.called, old.description)
+        original = call.set_up
+        return SetUp(original.call, original.class_name, wait_ms, original.called, original.description)
--- a/latchturn/session/callers.py
+++ b/latchturn/session/callers.py
@@ -1,6 +1,6 @@
 """The connections of callers: which are accepted, which are closed to make room, and the messages received on them.
 
-`Callers.lose` is the only place where a connection leaves the table.
+`Callers.remove` is the only place where a connection leaves the table.
 """
 
 from __future__ import annotations
@@ -129,10 +129,10 @@
     def least_valuable_idle(self) -> Caller | None:
         """The idle connection to close first, None if all are busy.
 
-        Protects callers with calls when very many connect. Unknown callers, without a valid set-up so far, go first, the
-        longest inactive of them before the others, so that one whose set-up arrives in pieces outlasts a silent one. If
-        even that one has been active just now, a known caller goes instead, provided that it is not recently active
-        itself and has no open or standing call. Callers with standing calls go last.
+        Protects callers with calls when very many connect. Unknown callers, without a valid set-up so far, go first,
+        the longest inactive one before all others, so that one whose set-up arrives in pieces outlasts a silent one.
+        If even that one has just been active, a known caller goes instead, provided that it has not been active itself
+        and has no open or standing call. Callers with standing calls go last.
         """
         unknown = next((c for c in self.without_calls.values() if c.idle), None)
         if unknown is not None and self.core.now - unknown.last_active_us >= RECENT_ACTIVITY_US:
@@ -197,7 +197,7 @@
             self.core.counters["messages_passed_over"] += 1
             self.count_fault(caller, "too many useless messages")
 
-    def lose(self, caller: Caller) -> None:
+    def remove(self, caller: Caller) -> None:
         """Remove a closed connection: abandon its open calls, and send its undelivered releases on another one."""
         caller.change_state(StreamTransition.CLOSE)
         del self.by_stream[caller.ident]
--- a/latchturn/session/end_notices.py
+++ b/latchturn/session/end_notices.py
@@ -1,7 +1,7 @@
-"""Ends of calls towards their callers: on which connection a release goes, and when it goes on another.
+"""Releases to callers for answered calls that have ended: on which connection each is sent, and sent again.
 
-A call that stood belongs to no connection, so its release may go on any. Owns the releases that wait for a connection.
-It must not decide that a call is over, nor close a connection.
+An answered call belongs to no connection, so its release may be sent on any. This component owns the releases that wait
+for a connection. It must not decide that a call has ended, nor close a connection.
 """
 
 from __future__ import annotations
@@ -22,24 +22,26 @@
 
 
 class EndNotices(Component):
-    """Sends the releases of calls that stood, again and another way where they may not have arrived."""
+    """Sends releases of ended calls, and again on another connection where they may not have arrived."""
 
     def __init__(self) -> None:
-        self.held: list[tuple[int, Release]] = []  # until when, and what waits for a connection
+        self.held: list[tuple[int, Release]] = []  # when it expires, and the release
 
     def send(self, preferred: int, release: Release) -> None:
-        """Send the release of a call that stood on the best connection, or keep it for the next one.
+        """Send the release of an ended call on the preferred stream, else on the best other, or hold it for the next.
 
-        Any will do for its caller, but not one of somebody else's: where the call's own is no more, those go
-        first on which calls have stood, and one that never set up a call is the last resort.
+        Any connection of its caller will do, but not one of another program. If the connection of the call is closed,
+        connections with answered calls come first. One without a valid set-up is used only if the release is urgent.
         """
         self.core.counters["releases_to_callers"] += 1
         caller = self.callers.by_stream.get(preferred)
         if caller is None or caller.finishing:
             caller = self.best_caller()
-        over = self.calls.ended.get(release.call)
-        # One that has been told on connections which closed since has waited long enough already.
-        urgent = over is not None and self.core.now - (over.remembered_until_us - ENDED_CALL_TTL_US) >= RELEASE_HOLD_US
+        ended = self.calls.ended.get(release.call)
+        # A release that was already sent on connections which then closed has waited long enough.
+        urgent = (
+            ended is not None and self.core.now - (ended.remembered_until_us - ENDED_CALL_TTL_US) >= RELEASE_HOLD_US
+        )
         if caller is None or not (caller.trust or urgent):
             self.core.record(TraceEvent.RELEASE_HELD, call=release.call)
             self.held.append((self.core.now + CALLER_RELEASE_TTL_US, release))
@@ -48,31 +50,34 @@
             self.writing.queue(caller, release)
 
     def send_again(self, caller: Caller) -> None:
-        """Guards against a release that is lost with a connection whose caller is gone, or never cared for
-        it: callers confirm what they hear. Without another connection it waits for one that comes."""
+        """Send releases that are not confirmed in time, or wait on a stuck connection, on another connection too.
+
+        Callers confirm each release. Without this, one would be lost on a connection behind which no caller is left, or
+        whose caller is not concerned by it. While there is no other connection, the releases stay where they are.
+        """
         stuck = self.is_stuck(caller)
-        if not (stuck or caller.unconfirmed):  # so that a sweep looks at each connection once
+        if not (stuck or caller.unconfirmed):  # else each sweep would compare all connections for each one
             return
         other = self.best_other(caller)
         if other is None:
             return
         if stuck:
             self.redirect_stuck_ends(caller, other)
-        unheard = [k for k, (at, _) in caller.unconfirmed.items() if at <= self.core.now - CONFIRMATION_TIMEOUT_US]
-        for ident in unheard:
+        overdue = [k for k, (at, _) in caller.unconfirmed.items() if at <= self.core.now - CONFIRMATION_TIMEOUT_US]
+        for ident in overdue:
             _, release = caller.unconfirmed.pop(ident)
-            over = self.calls.ended.get(ident)
-            if over is not None and over.stood and over.resend_count < MAX_RELEASE_RESENDS:
-                over.resend_count += 1
+            ended = self.calls.ended.get(ident)
+            if ended is not None and ended.stood and ended.resend_count < MAX_RELEASE_RESENDS:
+                ended.resend_count += 1
                 self.core.counters["releases_sent_again"] += 1
                 self.writing.queue(other, release)
 
     def is_stuck(self, caller: Caller) -> bool:
-        """Whether a write on a connection takes so long that its peer seems to take nothing in."""
+        """Whether a write on a connection takes so long that its peer seems to read nothing."""
         return bool(caller.in_flight) and self.core.now - caller.write_started_us > CONFIRMATION_TIMEOUT_US
 
     def redirect_stuck_ends(self, caller: Caller, other: Caller) -> None:
-        """Send the ends of calls that wait on a stuck connection another way: they are owed within 1 s."""
+        """Send the releases that wait on a stuck connection on another one: callers must get them within 1 s."""
         stuck = [] if caller.ends_resent else [m for m in caller.in_flight if self._is_end(m)]
         waiting = [m for m in caller.outbox if self._is_end(m)]
         caller.ends_resent = True
@@ -82,28 +87,30 @@
             self.writing.queue(other, release)
 
     def _is_end(self, message: Outgoing) -> bool:
-        """Whether a message tells the end of a call that stood."""
-        over = self.calls.ended.get(message.call) if isinstance(message, Release) else None
-        return over is not None and over.stood
+        """Whether an item is the release of an answered call that has ended."""
+        ended = self.calls.ended.get(message.call) if isinstance(message, Release) else None
+        return ended is not None and ended.stood
 
     def best_other(self, caller: Caller) -> Caller | None:
-        """The best other connection, None if there is none that takes what is written."""
+        """The best connection but this one, None if there is none or it is stuck too."""
         other = self.best_caller(caller)
         return None if other is None or self.is_stuck(other) else other
 
-    def best_caller(self, but: Caller | None = None) -> Caller | None:
-        open_ = [c for c in self.callers.by_stream.values() if not c.finishing and c is not but]
+    def best_caller(self, excluded: Caller | None = None) -> Caller | None:
+        """The best connection for a release: not stuck, with the highest trust, and most recently active."""
+        open_ = [c for c in self.callers.by_stream.values() if not c.finishing and c is not excluded]
         return max(open_, key=lambda c: (not self.is_stuck(c), c.trust, c.last_active_us)) if open_ else None
 
     def send_held(self, caller: Caller) -> None:
-        """Send the releases that have been held for a connection."""
+        """Send all held releases on a connection."""
         held, self.held = self.held, []
         for _, release in held:
             self.writing.queue(caller, release)
 
     def check(self) -> None:
-        """Now and then: send releases that have been held long enough for a caller with a call to any other."""
-        self.held = [kept for kept in self.held if kept[0] > self.core.now]
+        """Called by the housekeeping: drop expired releases, and send the others on any connection once one of them has
+        waited `RELEASE_HOLD_US` for a connection with a valid set-up."""
+        self.held = [held for held in self.held if held[0] > self.core.now]
         if not self.held:
             return
         held_since_us = self.held[0][0] - CALLER_RELEASE_TTL_US
--- a/latchturn/session/writing.py
+++ b/latchturn/session/writing.py
@@ -1,4 +1,4 @@
-"""Writing: what waits for each connection, what leaves now, and what is through."""
+"""The outboxes of all connections: queues messages, asks for writes, and closes connections."""
 
 from __future__ import annotations
 
@@ -13,17 +13,20 @@
 
 
 class Writing(Component):
-    """Writing: what waits for each connection, what leaves now, and what is through."""
+    """Queues and writes messages on streams, and tracks which releases may not have arrived."""
 
     def __init__(self) -> None:
-        self.pending: dict[int, Stream] = {}  # streams with something to write
+        self.pending: dict[int, Stream] = {}  # streams to be flushed in this step
 
     def undelivered_releases(self, stream: Caller | Link) -> list[Release]:
-        """Releases which a closed connection has perhaps not carried, and which still mean something: to a caller
-        those of calls that stood, to an exchange those of any call that is over."""
+        """The releases that may not have arrived on a closed connection and must be sent on another one.
+
+        For a caller those are the releases of answered calls, for an exchange those of any call that has ended. The
+        other releases to an exchange belong to open calls, which may now stand there: that is noted in the call.
+        """
         waiting = [m for m in (*stream.in_flight, *stream.outbox) if isinstance(m, Release)]
-        lately = [m for at, m in stream.unconfirmed.values() if at > self._unconfirmed_since(stream)]
-        releases = {m.call: m for m in (*lately, *waiting)}
+        recent = [m for at, m in stream.unconfirmed.values() if at > self._unconfirmed_since(stream)]
+        releases = {m.call: m for m in (*recent, *waiting)}
         if isinstance(stream, Link):
             for ident in releases.keys() & self.calls.by_id.keys():
                 self.calls.by_id[ident].maybe_standing_at.add(stream.exchange_id)
@@ -31,22 +34,25 @@
         return [m for ident, m in releases.items() if ident in self.calls.ended and self.calls.ended[ident].stood]
 
     def _unconfirmed_since(self, stream: Caller | Link) -> int:
-        """What was written later may not have arrived: lately, on a link since it last told anything, and to a caller
-        for as long as there is no other connection on which it could be sent again."""
+        """The time after which an unconfirmed write may not have arrived.
+
+        That is `RECENT_WRITE_US` ago, on a link also the time of the last message received on it, if that is earlier.
+        For a caller without another usable connection it is `CALLER_RELEASE_TTL_US` ago, the limit in all cases.
+        """
         since = self.core.now - RECENT_WRITE_US
         if isinstance(stream, Link):
             return max(min(since, stream.last_received_us), self.core.now - CALLER_RELEASE_TTL_US)
         return since if self.end_notices.best_other(stream) else self.core.now - CALLER_RELEASE_TTL_US
 
     def presumed_delivered(self, stream: Caller | Link) -> list[int]:
-        """The calls whose releases on a stream are held to have arrived, though nothing has confirmed them."""
+        """Ids of calls whose unconfirmed releases on a stream count as delivered because of their age."""
         if not stream.unconfirmed:
             return []
         since = self._unconfirmed_since(stream)
         return [call for call, (at, _) in stream.unconfirmed.items() if at <= since]
 
     def input_ended(self, stream: int, reason: CloseReason = CloseReason.PEER_ENDED) -> None:
-        """Nothing more comes in on a stream. A caller still gets the answers that it is owed."""
+        """No more input comes on a stream: close a link; close a caller's connection when its answers are written."""
         if stream in self.links.by_stream:
             self.liveness.link_ended_by_peer(self.links.by_stream[stream])
             self.drop(self.links.by_stream[stream], reason)
@@ -56,7 +62,7 @@
             self.callers.close_if_finished(caller)
 
     def peer_reset(self, stream: int) -> None:
-        """A stream is closed and nothing can be written to it any more."""
+        """A stream is closed in both directions: remove it."""
         if stream in self.links.by_stream:
             link = self.links.by_stream[stream]
             self.record_close(link, CloseReason.PEER_RESET)
@@ -66,14 +72,15 @@
         elif stream in self.callers.by_stream:
             caller = self.callers.by_stream[stream]
             self.record_close(caller, caller.close_reason or CloseReason.PEER_RESET)
-            self.callers.lose(caller)
+            self.callers.remove(caller)
 
     def queue(self, stream: Stream, item: Outgoing) -> None:
+        """Add an item to the outbox of a stream, to be written at the end of the step."""
         stream.outbox.append(item)
         self.pending[stream.ident] = stream
 
     def flush(self, stream: Stream) -> None:
-        """Ask for the next write, if none is under way. What is stale by now does not leave."""
+        """Ask for the next write of a stream, unless one is under way. Set-ups of ended attempts are left out."""
         if not stream.up or stream.in_flight:
             if len(stream.outbox) > MAX_OUTBOX_MESSAGES:
                 self.drop(stream, CloseReason.OUTBOX_FULL)
@@ -102,6 +109,7 @@
             self.core.effects.append(Write(stream.ident, tuple(messages)))
 
     def write_completed(self, ident: int) -> None:
+        """Process the end of a write: update its attempts, note its releases as unconfirmed, flush the rest."""
         stream = self.callers.by_stream.get(ident) or self.links.by_stream.get(ident)
         if stream is None:
             return
@@ -122,13 +130,13 @@
             self.callers.close_if_finished(stream)
 
     def drop(self, stream: Stream, reason: CloseReason) -> None:
-        """Close a stream from our side."""
+        """Close a stream from this side and remove it."""
         self.record_close(stream, reason)
         self.core.effects.append(Close(stream.ident))
         if isinstance(stream, Link):
             self.links.remove(stream, reason)
         elif isinstance(stream, Caller):
-            self.callers.lose(stream)
+            self.callers.remove(stream)
 
     def record_close(self, stream: Stream, reason: CloseReason) -> None:
         """Record and count why a stream is closed."""
