--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -171,12 +171,14 @@
 
 
 def set_up(call: int, to: int = 1, wait_ms: int = 3000, **figures: int) -> p.SetUp:
+    """A valid set-up for the settings in `NESTED`, to exchange `to`; `figures` override its figures."""
     description = b"\x00v=0\xff"
-    shown = {"dest": to, "width": 1, "via": -1, **figures}
-    return p.SetUp(call, "premium_quote", wait_ms, f"{call:016x}", description, shown, "acme")
+    all_figures = {"dest": to, "width": 1, "via": -1, **figures}
+    return p.SetUp(call, "premium_quote", wait_ms, f"{call:016x}", description, all_figures, "acme")
 
 
 def group_state(free: int, size: int = 40, allowed: float = -1) -> p.GroupState:
+    """A group state with `free` of `size` circuits; a negative `allowed` rate (set-ups per second) counts as absent."""
     return p.GroupState(0, {"spare": free, "total": size, "allowed": allowed})
 
 
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -1,4 +1,4 @@
-"""The reducer, on a made-up clock: each failure that it guards against."""
+"""Tests of the reducer on a simulated clock, one for each failure that it has to prevent."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         self.harness = SessionHarness()
         self.link = self.harness.first_links
 
-    def test_a_call_stands_and_ends_on_any_connection(self) -> None:
+    def test_a_call_is_answered_and_released_on_any_connection_of_its_caller(self) -> None:
         harness = self.harness
         self.assertEqual(sent(harness.deliver(1, set_up(5)), p.SetUp), [self.link[1]])
         answer = p.Answer(5, b"\0as it is")
@@ -39,7 +39,7 @@
         self.assertEqual(harness.session.calls.by_id, {})
 
     def test_a_release_waits_for_a_connection_and_is_dropped_after_8_s(self) -> None:
-        for wait_us, heard in ((7 * SECOND, True), (9 * SECOND, False)):
+        for wait_us, delivered in ((7 * SECOND, True), (9 * SECOND, False)):
             harness = SessionHarness()
             harness.establish_call(5)
             harness.submit(s.ConnectionClosed(1))
@@ -47,21 +47,21 @@
             harness.pass_time(wait_us)
             harness.submit(s.Accepted(2))
             written = harness.pass_time(SECOND // 4)
-            self.assertEqual(written, [(2, p.Release(5, GIVE_UP))] if heard else [])
+            self.assertEqual(written, [(2, p.Release(5, GIVE_UP))] if delivered else [])
 
     def test_a_release_that_crosses_a_close_is_sent_again(self) -> None:
-        for heard in (False, True):
+        for release_confirmed in (False, True):
             harness = SessionHarness()
             harness.establish_call(5)
             harness.submit(s.Accepted(2))
             harness.deliver(harness.first_links[1], p.Release(5, GIVE_UP))
-            if heard:
+            if release_confirmed:
                 harness.deliver(1, p.ReleaseConfirmed(5))
             written = harness.submit(s.ConnectionClosed(1)) + harness.pass_time(SECOND)
-            self.assertEqual(written, [] if heard else [(2, p.Release(5, GIVE_UP))])
+            self.assertEqual(written, [] if release_confirmed else [(2, p.Release(5, GIVE_UP))])
 
-    def test_a_release_that_is_not_confirmed_goes_another_way_too(self) -> None:
-        # Its connection may be open and nobody behind it listen.
+    def test_a_release_that_is_not_confirmed_is_sent_on_another_connection_too(self) -> None:
+        # Its connection may be open although no program reads from it any more.
         for confirmed in (False, True):
             harness = SessionHarness()
             harness.establish_call(5)
@@ -77,22 +77,22 @@
             harness.deliver(2, p.ReleaseConfirmed(5))
             self.assertEqual(harness.pass_time(SECOND), [])
 
-    def test_a_release_goes_to_a_caller_whose_calls_have_stood_not_to_a_stranger(self) -> None:
-        # Strangers connect by the hundred and are the latest to have spoken; what they are told is lost.
+    def test_a_release_goes_to_a_caller_with_answered_calls_not_to_an_unknown_one(self) -> None:
+        # Unknown callers connect by the hundred and are the last active ones. A release sent to them would be lost.
         harness = self.harness
         harness.submit(s.Accepted(2))
         harness.deliver(2, set_up(6, to=2))
         harness.deliver(self.link[2], p.Answer(6, b"yes"))
         harness.establish_call(5)
-        for stranger in (3, 4):
-            harness.submit(s.Accepted(stranger))
+        for unknown in (3, 4):
+            harness.submit(s.Accepted(unknown))
         harness.deliver(3, p.HealthCheck(1))
         harness.deliver(4, set_up(7, to=2))
         harness.submit(s.ConnectionClosed(1))
         written = harness.deliver(self.link[1], p.Release(5, GIVE_UP))
         self.assertIn((2, p.Release(5, GIVE_UP)), written)
 
-    def test_a_release_whose_connections_close_one_after_another_is_held_for_no_better_one(self) -> None:
+    def test_a_release_whose_connections_close_in_turn_is_not_held_again(self) -> None:
         harness = self.harness
         harness.establish_call(5)
         for stream in (2, 3):
@@ -103,19 +103,19 @@
         self.assertIn((2, p.Release(5, GIVE_UP)), harness.written)
         self.assertEqual(harness.submit(s.ConnectionClosed(2)), [(3, p.Release(5, GIVE_UP))])
 
-    def test_a_callers_release_reaches_the_exchange_even_over_a_new_link(self) -> None:
+    def test_the_release_of_a_caller_is_sent_to_the_exchange_again_on_a_new_link(self) -> None:
         self.harness.establish_call(5)
         self.harness.submit(s.ConnectionClosed(self.link[1]))
         self.harness.deliver(1, p.Release(5, GIVE_UP))
         other = self.harness.second_links[1]
         self.assertIn((other, p.Release(5, GIVE_UP)), self.harness.written)
-        # Nothing tells that it has arrived, so it goes over the next link too if this one is closed.
+        # Nothing confirms that it has arrived, so it is sent on the next link too if this one is closed.
         self.harness.submit(s.ConnectionClosed(other))
         again = self.harness.connects[-1].stream
         self.assertEqual(self.harness.submit(s.Connected(again)), [(again, p.Release(5, GIVE_UP))])
 
-    def test_a_repeated_id_gets_one_answer(self) -> None:
-        # Pending, then answered: whatever comes under the id, no second answer may.
+    def test_a_repeated_id_gets_only_one_answer(self) -> None:
+        # First while the call is open, then after its answer. Further set-ups with the id must not get another answer.
         for answered in (False, True):
             harness = SessionHarness()
             written = harness.deliver(1, set_up(5))
@@ -127,7 +127,7 @@
             finals = [m for stream, m in written if stream == 1]
             self.assertEqual([type(m) for m in finals], [p.Answer if answered else p.Release])
 
-    def test_an_impostor_is_closed_and_the_true_call_goes_on(self) -> None:
+    def test_a_caller_that_uses_the_id_of_another_is_closed_and_the_first_call_goes_on(self) -> None:
         for stands in (False, True):
             harness = SessionHarness()
             harness.deliver(1, set_up(5))
@@ -142,7 +142,7 @@
                 self.assertEqual(sent(harness.deliver(harness.first_links[1], p.Answer(5, b"yes")), p.Answer), [1])
             self.assertEqual(sent(harness.deliver(harness.first_links[1], p.Release(5, GIVE_UP)), p.Release), [1])
 
-    def test_a_set_up_that_cannot_be_used_fails_at_once_and_reaches_no_exchange(self) -> None:
+    def test_an_invalid_set_up_fails_at_once_and_reaches_no_exchange(self) -> None:
         good = set_up(5)
         cases = {
             "id": {"call": 0}, "class": {"class_name": "premium"}, "tenant": {"tenant": "nobody"},
@@ -166,17 +166,17 @@
                 sent(harness.deliver(1, dataclasses.replace(good, **change)), p.SetUp), [harness.first_links[1]]
             )
 
-    def test_a_caller_that_gives_up_frees_the_exchange_and_is_owed_nothing(self) -> None:
+    def test_a_caller_that_gives_up_frees_the_exchange_and_gets_no_answer(self) -> None:
         self.harness.deliver(1, set_up(5))
         give_up = p.Release(5, GIVE_UP)
         self.assertEqual(self.harness.deliver(1, give_up), [(self.link[1], give_up)])
         self.assertEqual(self.harness.pass_time(10 * SECOND), [])
 
-    def test_a_caller_that_vanishes_has_its_set_ups_given_up(self) -> None:
+    def test_the_set_ups_of_a_caller_that_disconnects_are_given_up(self) -> None:
         self.harness.deliver(1, set_up(5))
         self.assertEqual(self.harness.submit(s.ConnectionClosed(1)), [(self.link[1], p.Release(5, GIVE_UP))])
 
-    def test_a_caller_that_sends_no_more_still_gets_its_answer(self) -> None:
+    def test_a_caller_that_closes_its_sending_side_still_gets_its_answer(self) -> None:
         self.harness.deliver(1, set_up(5))
         self.harness.submit(s.EndOfInput(1))
         self.assertEqual(self.harness.closed, [])
@@ -184,7 +184,7 @@
         self.assertEqual(self.harness.deliver(self.link[1], answer), [(1, answer)])
         self.assertEqual(self.harness.closed, [1])
 
-    def test_a_fault_fails_its_call_alone(self) -> None:
+    def test_an_internal_error_fails_only_the_call_concerned(self) -> None:
         self.harness.deliver(1, set_up(4))
         controller = self.harness.session.decision_module.controller
         handle, controller.handle = controller.handle, lambda *_: 1 / 0  # type: ignore[assignment]
@@ -194,12 +194,12 @@
         self.assertEqual(len(self.harness.deliver(self.link[1], p.Answer(4, b""))), 1)
         self.assertGreater(self.harness.session.counters["errors"], 0)
 
-    def test_time_unread_comes_off_the_wait(self) -> None:
+    def test_the_time_that_a_set_up_stayed_unread_is_subtracted_from_its_wait(self) -> None:
         self.harness.session.decision_module.controller.handle = lambda *_: []  # type: ignore[method-assign]
         self.harness.submit(s.MessageReceived(1, set_up(5, wait_ms=1000), 300_000))
         self.assertEqual(sent(self.harness.pass_time(700_000), p.Release), [1])
 
-    def test_a_call_that_the_module_forgets_fails_at_its_deadline(self) -> None:
+    def test_a_call_that_the_decision_module_never_answers_fails_at_its_deadline(self) -> None:
         self.harness.session.decision_module.controller.handle = lambda *_: []  # type: ignore[method-assign]
         self.harness.deliver(1, set_up(5, wait_ms=1000))
         self.assertEqual(sent(self.harness.pass_time(SECOND), p.Release), [1])
@@ -210,31 +210,31 @@
         self.harness = SessionHarness()
         self.link = self.harness.first_links
 
-    def test_the_give_up_leaves_before_the_time_out_is_known(self) -> None:
+    def test_the_give_up_is_written_before_the_time_out_is_reported(self) -> None:
         harness = self.harness
         harness.deliver(1, set_up(5))
         harness.stalled_streams.add(self.link[1])
         harness.pass_time(1_500_000)
-        self.assertIn(5, harness.session.calls.by_id)  # its give-up is asked for, but not through
+        self.assertIn(5, harness.session.calls.by_id)  # its give-up is being written
         self.assertEqual(harness.written[-1], (self.link[1], p.Release(5, GIVE_UP)))
-        # A link that takes no give-up within 50 ms is closed, which gives up all set-ups on it.
+        # A link on which a give-up is not written within 50 ms is closed, which gives up all set-ups on it.
         written = harness.pass_time(limits.GIVE_UP_TIMEOUT_US)
         self.assertIn(self.link[1], harness.closed)
-        # The exchange is told on its other link too: it may have answered just before the close.
+        # The release is sent on the other link too: the exchange may have answered just before the close.
         self.assertEqual(sent(written, p.Release), [1, harness.second_links[1]])
 
-    def test_a_further_attempt_at_an_exchange_has_a_link_of_its_own(self) -> None:
+    def test_a_further_attempt_at_an_exchange_uses_another_link(self) -> None:
         harness = self.harness
         harness.deliver(1, set_up(5))
         harness.deliver(self.link[1], p.Release(5, p.ReleaseCause.TEMPORARY_FAILURE))
         harness.pass_time(400_000)
         second = harness.second_links[1]
         self.assertEqual(sent(harness.written[-1:], p.SetUp), [second])
-        # An answer to the first attempt is not taken for one to the second, nor may it be released here.
+        # An answer to the first attempt must neither count for the second nor be released, which would end the second.
         self.assertEqual(harness.deliver(self.link[1], p.Answer(5, b"late")), [])
         self.assertEqual(sent(harness.deliver(second, p.Answer(5, b"yes")), p.Answer), [1])
 
-    def test_outcomes_by_cause_and_by_how_a_link_ends(self) -> None:
+    def test_outcomes_of_attempts_by_release_cause_and_after_the_loss_of_the_link(self) -> None:
         release = p.Release
         cases: list[tuple[p.Message | None, str]] = [
             (release(5, 34, "no_circuit"), "turned_away"), (release(5, 17, "lines_busy"), "no_line"),
@@ -249,7 +249,7 @@
                 harness.deliver(link, message) if message else harness.submit(s.ConnectionClosed(link))
                 self.assertEqual(harness.session.counters[f"attempts_{outcome}"], 1)
 
-    def test_a_set_up_that_waits_for_its_link_is_checked_as_it_leaves(self) -> None:
+    def test_a_set_up_that_waits_for_its_link_is_checked_when_it_is_written(self) -> None:
         def changed(harness: SessionHarness) -> None:
             update = p.ListUpdate(2, i.ListKind.CHANGES, (exchange_record(1, state=i.ListState.DRAINING),))
             harness.submit(s.ListUpdateReceived(update))
@@ -265,7 +265,7 @@
             written = harness.submit(s.Connected(harness.connects[-1].stream))
             self.assertEqual((sent(written, p.SetUp), harness.session.counters[counter]), ([], 1))
 
-    def test_a_stuck_peer_is_dropped_and_delays_nobody(self) -> None:
+    def test_a_peer_that_does_not_read_is_dropped_and_delays_no_other(self) -> None:
         harness = self.harness
         harness.stalled_streams.add(1)
         harness.establish_call(5)
@@ -276,18 +276,18 @@
         self.assertEqual(harness.closed, [1])
 
 
-class Spliced(unittest.TestCase):
-    """An answer that stopped short, completed by the bytes of the message behind it."""
+class SplicedAnswers(unittest.TestCase):
+    """A truncated answer whose declared length is filled with bytes of the message behind it."""
 
     def test_it_is_not_passed_on_and_its_link_is_closed(self) -> None:
-        behind = (
+        next_messages = (
             p.Answer(6, b"v=0"),
             p.Release(4, GIVE_UP),
             group_state(7),
             p.ReleaseConfirmed(4),
             p.Answer(5, b"v=0"),
         )
-        for message in behind:
+        for message in next_messages:
             harness = SessionHarness()
             harness.establish_call(4)
             harness.deliver(1, set_up(6))
@@ -306,26 +306,27 @@
             self.assertIn((1, answer), harness.deliver(harness.first_links[1], answer))
 
 
-class Unsure(unittest.TestCase):
-    """A connection breaks under a set-up, which may have been answered just before."""
+class MaybeStanding(unittest.TestCase):
+    """A link breaks while a set-up is outstanding on it, which the exchange may have answered just before."""
 
     def setUp(self) -> None:
         self.harness = SessionHarness()
         self.harness.deliver(1, set_up(5))
 
     def released(self, written: list[tuple[int, p.Message]]) -> list[int]:
-        far = self.harness.session.links.by_stream
+        """Ids of the exchanges to which the release of call 5 was written."""
+        links = self.harness.session.links.by_stream
         release = p.Release(5, GIVE_UP)
-        return [far[stream].exchange_id for stream, message in written if stream in far and message == release]
+        return [links[stream].exchange_id for stream, message in written if stream in links and message == release]
 
-    def test_its_exchange_is_told_once_the_call_is_over(self) -> None:
+    def test_it_is_released_at_its_exchange_when_the_call_has_ended(self) -> None:
         harness = self.harness
         written = harness.submit(s.ConnectionClosed(harness.first_links[1]))
         self.assertEqual(self.released(written), [])  # a later attempt there has the same id
         self.assertEqual(self.released(harness.deliver(1, p.Release(5, GIVE_UP))), [101])
 
-    def test_or_once_it_stands_elsewhere_but_never_where_it_stands(self) -> None:
-        for direct_is_full, told in ((False, []), (True, [101])):
+    def test_it_is_released_when_the_call_is_answered_elsewhere_but_not_where_it_stands(self) -> None:
+        for direct_is_full, released_at in ((False, []), (True, [101])):
             self.setUp()
             harness = self.harness
             harness.submit(s.ConnectionClosed(harness.first_links[1]))
@@ -336,17 +337,17 @@
             self.assertEqual(attempt.link.exchange_id, 102 if direct_is_full else 101)
             if not attempt.link.up:
                 harness.submit(s.Connected(attempt.link.ident))
-            self.assertEqual(self.released(harness.deliver(attempt.link.ident, p.Answer(5, b"yes"))), told)
+            self.assertEqual(self.released(harness.deliver(attempt.link.ident, p.Answer(5, b"yes"))), released_at)
 
-    def test_a_give_up_that_a_lost_link_may_not_have_carried_is_sent_again(self) -> None:
+    def test_a_give_up_that_may_be_lost_with_its_link_is_sent_again(self) -> None:
         harness = self.harness
         harness.deliver(1, p.Release(5, GIVE_UP))
         self.assertEqual(self.released(harness.submit(s.ConnectionClosed(harness.first_links[1]))), [101])
 
 
 class Exchanges(unittest.TestCase):
-    def test_a_broken_and_refused_exchange_has_cut_its_calls(self) -> None:
-        """Further links of a dead process, idle ones, may stay open and silent."""
+    def test_an_exchange_whose_link_breaks_and_that_refuses_the_next_has_lost_its_calls(self) -> None:
+        """Idle links to a process that has died may stay open without any message."""
         harness = SessionHarness(remote_exchanges=1)
         harness.deliver(1, set_up(4))
         harness.deliver(harness.first_links[1], p.Release(4, p.ReleaseCause.TEMPORARY_FAILURE))
@@ -358,10 +359,10 @@
         written = harness.submit(s.ConnectFailed(harness.connects[-1].stream, refused=True))
         self.assertIn((1, p.Release(5, p.ReleaseCause.TEMPORARY_FAILURE)), written)
         self.assertIn(idle, harness.closed)
-        # The exchange tells of it once more when it is back: that is late by then.
+        # The exchange releases the call once more when it is back, which is ignored as late.
         self.assertEqual(harness.deliver(harness.first_links[1], p.Release(5, 41)), [])
 
-    def test_an_exchange_that_drains_may_refuse_links_and_its_calls_go_on(self) -> None:
+    def test_a_draining_exchange_may_refuse_links_while_its_calls_go_on(self) -> None:
         harness = SessionHarness()
         harness.establish_call(5)
         harness.submit(
@@ -372,11 +373,11 @@
         written = harness.submit(s.ConnectFailed(harness.connects[-1].stream, True)) + harness.pass_time(SECOND)
         self.assertEqual(sent(written, p.Release), [])
         self.assertIn(5, harness.session.calls.by_id)
-        harness.submit(s.Connected(harness.connects[-1].stream))  # it may be another exchange's by now
+        harness.submit(s.Connected(harness.connects[-1].stream))  # by now another exchange may have its address
         written = harness.pass_time(limits.DRAINED_AFTER_US)
         self.assertIn((1, p.Release(5, p.ReleaseCause.TEMPORARY_FAILURE)), written)
 
-    def test_a_refused_link_beside_one_that_is_up_proves_nothing(self) -> None:
+    def test_a_refused_connect_beside_a_link_that_is_up_does_not_end_calls(self) -> None:
         harness = SessionHarness(remote_exchanges=1)
         harness.establish_call(4)
         harness.deliver(1, set_up(5))
@@ -385,15 +386,15 @@
         harness.submit(s.ConnectFailed(harness.connects[-1].stream, refused=True))
         self.assertIn(4, harness.session.calls.by_id)
 
-    def test_calls_of_an_exchange_that_is_gone_restarted_or_out_of_reach_are_over(self) -> None:
+    def test_calls_at_an_exchange_that_is_gone_restarted_or_unreachable_end(self) -> None:
         gone = p.ListUpdate(2, i.ListKind.CHANGES, (exchange_record(1, state=i.ListState.GONE),))
-        unnamed = p.ListUpdate(2, i.ListKind.FULL, (exchange_record(0), exchange_record(2)))
+        omitted = p.ListUpdate(2, i.ListKind.FULL, (exchange_record(0), exchange_record(2)))
 
         def restart(harness: SessionHarness) -> s.Input:
             started = exchange_record(1, started=harness.now + 1)
             return s.ListUpdateReceived(p.ListUpdate(2, i.ListKind.CHANGES, (started,)))
 
-        for happens in (lambda _: s.ListUpdateReceived(gone), lambda _: s.ListUpdateReceived(unnamed), restart):
+        for happens in (lambda _: s.ListUpdateReceived(gone), lambda _: s.ListUpdateReceived(omitted), restart):
             harness = SessionHarness()
             harness.establish_call(5)
             self.assertEqual(sent(harness.submit(happens(harness)), p.Release), [1])
@@ -403,7 +404,7 @@
         harness.submit(s.ConnectFailed(harness.connects[-1].stream, refused=False))
         self.assertEqual(sent(harness.pass_time(limits.SILENCE_LIMIT_US + SECOND), p.Release), [1])
 
-    def test_links_come_back_with_growing_pauses(self) -> None:
+    def test_links_are_reconnected_after_growing_pauses(self) -> None:
         harness = SessionHarness(remote_exchanges=1)
         harness.submit(s.ConnectionClosed(harness.second_links[1]))
         harness.submit(s.ConnectionClosed(harness.first_links[1]))
@@ -420,26 +421,26 @@
         self.assertGreaterEqual(pauses[-1], limits.RECONNECT_MAX_US // 2)
         self.assertGreater(pauses[-1], pauses[1])
 
-    def test_an_old_event_of_the_channel_is_passed_over(self) -> None:
+    def test_an_old_update_of_the_channel_is_ignored(self) -> None:
         harness = SessionHarness()
         update = p.ListUpdate(1, i.ListKind.CHANGES, (exchange_record(1, state=i.ListState.GONE),))
         harness.submit(s.ListUpdateReceived(update))
         self.assertEqual(harness.closed, [])
 
-    def test_a_release_of_a_call_from_before_a_restart_is_passed_on(self) -> None:
+    def test_the_release_of_a_call_from_before_a_restart_is_sent_to_a_caller(self) -> None:
         harness = SessionHarness()
         harness.deliver(1, set_up(5))
         release = p.Release(77, GIVE_UP)
         self.assertEqual(harness.deliver(harness.first_links[1], release), [(1, release)])
         self.assertEqual(harness.deliver(harness.first_links[1], release), [])
 
-    def test_reports_reach_the_module(self) -> None:
+    def test_group_states_reach_the_decision_module(self) -> None:
         harness = SessionHarness()
         harness.deliver(harness.first_links[1], group_state(0))
         self.assertEqual(sent(harness.deliver(1, set_up(5)), p.SetUp), [harness.first_links[2]])
 
-    def test_an_exchange_that_is_gone_is_forgotten(self) -> None:
-        # On long days exchanges come and go under new ids, at addresses of those that have gone.
+    def test_nothing_is_kept_of_exchanges_that_are_gone(self) -> None:
+        # In long runs exchanges come and go under new ids, at the addresses of earlier ones.
         harness = SessionHarness(remote_exchanges=1)
         for k in range(50):
             new = p.ExchangeRecord(i.ListEntry(200 + k, 1, i.ListState.READY, 0), ("127.0.0.1", 5 + k % 3))
@@ -455,8 +456,8 @@
         self.assertEqual(len(harness.session.links.by_stream), 2)
         self.assertEqual(len(harness.session.calls.by_id), 1)
 
-    def test_a_new_exchange_at_an_address_ends_the_one_that_was_there(self) -> None:
-        # Else calls would reach the new one under the old id, until the word of the old one's end has come.
+    def test_a_new_exchange_at_an_address_replaces_the_old_one_there(self) -> None:
+        # Otherwise calls would be sent to the new one under the old id until the old one is reported as gone.
         harness = SessionHarness(remote_exchanges=1)
         moved = p.ExchangeRecord(i.ListEntry(300, 1, i.ListState.READY, 0), exchange_record(1).address)
         harness.submit(s.ListUpdateReceived(p.ListUpdate(2, i.ListKind.CHANGES, (moved,))))
@@ -465,8 +466,8 @@
         self.assertEqual(list(harness.session.decision_module.controller.exchanges), [100, 300])
 
 
-class SpoiltLinks(unittest.TestCase):
-    """An exchange's message that comes spoilt leaves its link of no further use, though it may stay open."""
+class CorruptedLinks(unittest.TestCase):
+    """After a corrupted or lost message of an exchange its link is useless, although it may stay open."""
 
     def setUp(self) -> None:
         self.harness = SessionHarness(remote_exchanges=1)
@@ -476,7 +477,7 @@
         self.harness.deliver(self.link, p.UnknownMessage(5, 123))
         self.assertEqual(self.harness.closed, [self.link])
 
-    def test_a_half_read_link_gets_no_set_ups_and_is_closed(self) -> None:
+    def test_a_link_with_a_partial_message_gets_no_set_ups_and_is_closed(self) -> None:
         harness = self.harness
         harness.deliver(1, set_up(4))
         harness.submit(s.PartialMessage(self.link, True))
@@ -485,13 +486,13 @@
         self.assertEqual(harness.closed, [self.link])
         self.assertEqual(harness.session.counters["attempts_cut"], 1)
 
-    def test_a_message_that_becomes_whole_leaves_its_link_open(self) -> None:
-        for step in (True, False):
-            self.harness.submit(s.PartialMessage(self.link, step))
+    def test_a_message_that_is_completed_leaves_its_link_open(self) -> None:
+        for partial in (True, False):
+            self.harness.submit(s.PartialMessage(self.link, partial))
         self.harness.pass_time(SECOND)
         self.assertEqual(self.harness.closed, [])
 
-    def test_a_link_that_misses_what_the_other_hears_is_closed(self) -> None:
+    def test_a_link_that_lacks_group_states_of_the_other_link_is_closed(self) -> None:
         harness = self.harness
         for free in (20, 19):
             harness.deliver(self.other, group_state(free))
@@ -503,31 +504,31 @@
             harness.pass_time(400_000)
         self.assertEqual(harness.closed, [self.link])
 
-    def test_attempts_that_time_out_unheard_close_their_link(self) -> None:
+    def test_a_link_without_messages_is_closed_when_an_attempt_times_out_on_it(self) -> None:
         harness = self.harness
-        harness.pass_time(1)  # what was heard last came before the attempt
+        harness.pass_time(1)  # the last message was received before the attempt
         harness.deliver(1, set_up(5))
         harness.pass_time(300_000)
         harness.deliver(self.other, group_state(20))
         harness.pass_time(1_300_000)
         self.assertEqual(harness.closed, [self.link])
 
-    def test_the_reset_of_a_new_link_is_no_end_of_an_attempt_not_sent(self) -> None:
+    def test_an_attempt_not_sent_yet_survives_the_reset_of_its_new_link(self) -> None:
         harness = self.harness
         harness.submit(s.ConnectionClosed(self.other))
         harness.submit(s.ConnectionClosed(self.link))
         new = harness.connects[-1].stream
         harness.stalled_streams.add(new)
         harness.submit(s.Connected(new))
-        harness.deliver(new, p.HealthCheck(1))  # a write that does not get through
+        harness.deliver(new, p.HealthCheck(1))  # its answer is a write that does not complete
         harness.deliver(1, set_up(5))
         harness.submit(s.ConnectionClosed(new))
         again = next(c.stream for c in harness.connects if c.stream in harness.session.links.by_stream
                      and harness.session.links.by_stream[c.stream].attempts)  # fmt: skip
         self.assertEqual(sent(harness.submit(s.Connected(again)), p.SetUp), [again])
 
-    def test_a_group_state_counts_once_though_it_comes_on_every_link(self) -> None:
-        # Else its copy gives back the circuit that a call has just been sent to, and the next call is moot.
+    def test_a_group_state_that_arrives_on_every_link_counts_once(self) -> None:
+        # Otherwise the copy would count as free the circuit that a call has just been sent to, and the next call fails.
         harness = self.harness
         harness.pass_time(SECOND)
         for link in (self.link, self.other):
@@ -545,7 +546,7 @@
         harness.deliver(self.link, p.Release(5, p.ReleaseCause.NO_CIRCUIT, "no_circuit"))
         self.assertIn(5, harness.session.calls.by_id)
 
-    def test_what_is_under_an_unknown_id_reaches_no_caller(self) -> None:
+    def test_messages_with_an_unknown_id_reach_no_caller(self) -> None:
         harness = self.harness
         harness.deliver(1, set_up(5))
         written = harness.deliver(self.link, p.Answer(99, b"no")) + harness.deliver(self.link, p.Answer(5, b"yes"))
@@ -554,13 +555,13 @@
         self.assertIn(5, harness.session.calls.by_id)
 
 
-class BadCallers(unittest.TestCase):
-    """Callers that cannot be understood are owed a word or a close within 3 s, and good ones come first."""
+class MisbehavingCallers(unittest.TestCase):
+    """Callers that send nothing valid get a message or a close within 3 s, and do not displace well-behaved ones."""
 
     def setUp(self) -> None:
         self.harness = SessionHarness()
 
-    def test_silent_and_half_sent_connections_are_closed_in_time(self) -> None:
+    def test_connections_that_are_silent_or_end_within_a_message_are_closed_in_time(self) -> None:
         harness = self.harness
         harness.deliver(1, p.HealthCheck(1))
         for stream in (2, 3, 4):
@@ -569,15 +570,15 @@
         harness.submit(s.PartialMessage(1, True))
         harness.deliver(4, p.UnknownMessage(1, 123))
         harness.pass_time(2_500_000)
-        self.assertEqual(harness.closed, [])  # what comes in pieces may be whole by now
+        self.assertEqual(harness.closed, [])  # a message that arrives in pieces may take until now
         harness.pass_time(400_000)
-        # The good caller of the open call stays, and so do idle connections that have been told something.
+        # The caller of the open call stays, and so do idle connections to which something has been sent.
         self.assertEqual(sorted(harness.closed), [1, 2, 4])
         harness.deliver(harness.first_links[1], p.Answer(5, b"yes"))
         harness.pass_time(60 * SECOND)
         self.assertNotIn(3, harness.closed)
 
-    def test_after_input_that_cannot_be_read_open_calls_fail_and_the_connection_closes(self) -> None:
+    def test_after_malformed_input_open_calls_fail_and_the_connection_is_closed(self) -> None:
         harness = self.harness
         harness.deliver(1, set_up(5))
         written = harness.submit(s.MalformedInput(1, "message of 3 bytes"))
@@ -585,10 +586,10 @@
         self.assertIn((harness.first_links[1], p.Release(5, GIVE_UP)), written)
         self.assertEqual(harness.closed, [1])
 
-    def test_floods_are_cut_off_and_a_busy_good_caller_is_not(self) -> None:
+    def test_callers_that_flood_are_closed_and_a_busy_valid_caller_is_not(self) -> None:
         floods = {
-            "set-ups of no use": lambda k: set_up(k, width=3), "releases": lambda k: p.Release(k, GIVE_UP),
-            "tests": p.HealthCheck, "what is no use here": lambda k: p.Progress(k), "one id": lambda _: set_up(7),
+            "invalid set-ups": lambda k: set_up(k, width=3), "releases": lambda k: p.Release(k, GIVE_UP),
+            "health checks": p.HealthCheck, "useless messages": lambda k: p.Progress(k), "one id": lambda _: set_up(7),
         }  # fmt: skip
         for name, message in floods.items():
             with self.subTest(name):
@@ -603,16 +604,16 @@
             self.harness.pass_time(100_000)
         self.assertEqual(self.harness.closed, [])
 
-    def test_calls_beyond_a_connections_budget_are_refused_at_once(self) -> None:
+    def test_calls_beyond_the_limit_of_a_connection_are_refused_at_once(self) -> None:
         for k in range(1, limits.MAX_OPEN_CALLS + 1):
             self.harness.deliver(1, set_up(k, wait_ms=9000))
-        owed = len(self.harness.session.callers.by_stream[1].unanswered)
-        self.assertLessEqual(owed, limits.MAX_OPEN_CALLS)
-        for k in range(owed, limits.MAX_OPEN_CALLS + 1):
+        unanswered = len(self.harness.session.callers.by_stream[1].unanswered)
+        self.assertLessEqual(unanswered, limits.MAX_OPEN_CALLS)
+        for k in range(unanswered, limits.MAX_OPEN_CALLS + 1):
             written = self.harness.deliver(1, set_up(1000 + k, wait_ms=9000))
         self.assertEqual([(m.cause, m.retry_after_ms) for _, m in written], [(p.ReleaseCause.CONGESTION, 2000)])
 
-    def test_connections_on_which_calls_stood_are_the_last_to_make_room(self) -> None:
+    def test_connections_with_standing_calls_are_the_last_to_make_room(self) -> None:
         harness = SessionHarness(socket_limit=3 * limits.MIN_CALLERS_DIVISOR)
         harness.establish_call(5)
         for stream in range(2, 40):
@@ -620,12 +621,12 @@
             harness.deliver(stream, p.HealthCheck(1))
         self.assertNotIn(1, harness.closed)
 
-    def test_the_budget_follows_the_limit(self) -> None:
-        for sockets, exchanges, most in ((384, 3, 335), (1024, 40, 864), (128, 10, 58), (96, 20, 32)):
-            harness = SessionHarness(remote_exchanges=exchanges - 1, socket_limit=sockets)
-            self.assertEqual(harness.session.callers.limit(), most)
+    def test_the_number_of_callers_follows_the_descriptor_limit(self) -> None:
+        for descriptors, exchanges, callers in ((384, 3, 335), (1024, 40, 864), (128, 10, 58), (96, 20, 32)):
+            harness = SessionHarness(remote_exchanges=exchanges - 1, socket_limit=descriptors)
+            self.assertEqual(harness.session.callers.limit(), callers)
 
-    def test_in_a_crowd_what_comes_in_pieces_outlasts_silence(self) -> None:
+    def test_a_set_up_that_arrives_in_pieces_outlasts_silent_connections(self) -> None:
         harness = SessionHarness(socket_limit=12 * limits.MIN_CALLERS_DIVISOR)
         harness.submit(s.Accepted(2))
         for stream in range(10, 60):
@@ -639,28 +640,28 @@
         self.assertNotIn(2, harness.closed)
         self.assertGreater(len(harness.closed), 20)
 
-    def test_where_all_strangers_are_fresh_a_connection_with_nothing_open_makes_room(self) -> None:
+    def test_if_all_unknown_callers_are_recent_a_connection_without_calls_makes_room(self) -> None:
         harness = SessionHarness(socket_limit=4 * limits.MIN_CALLERS_DIVISOR)
         harness.establish_call(5)
         harness.submit(s.Accepted(2))
-        harness.deliver(2, set_up(6, to=9))  # refused: nothing is left of it
+        harness.deliver(2, set_up(6, to=9))  # refused, so no call is left on the connection
         harness.pass_time(SECOND)
         for stream in (3, 4, 5, 6):
             harness.submit(s.Accepted(stream))
-        # Then the strangers, and the connection of the call that stands last.
+        # After it the unknown callers; the connection with the standing call would be the last.
         self.assertEqual(harness.closed, [2, 3])
 
-    def test_withdrawn_calls_hang_on_no_timer(self) -> None:
+    def test_no_timer_refers_to_calls_that_were_given_up(self) -> None:
         harness = self.harness
         for k in range(1, 30):
             harness.deliver(1, set_up(k, wait_ms=9000))
             harness.deliver(1, p.Release(k, GIVE_UP))
-        held = [t for _, _, t in harness.session.timers.heap if isinstance(t.subject, s.Call | s.Attempt)]
-        self.assertEqual((held, harness.session.calls.by_id), ([], {}))
+        timers = [t for _, _, t in harness.session.timers.heap if isinstance(t.subject, s.Call | s.Attempt)]
+        self.assertEqual((timers, harness.session.calls.by_id), ([], {}))
 
 
-class Life(unittest.TestCase):
-    def test_the_descriptor_budget_is_kept(self) -> None:
+class DescriptorsAndTermination(unittest.TestCase):
+    def test_idle_connections_make_room_within_the_descriptor_limit(self) -> None:
         harness = SessionHarness(socket_limit=2 * limits.MIN_CALLERS_DIVISOR)
         harness.deliver(1, set_up(5))
         harness.submit(s.Accepted(2))
@@ -670,7 +671,7 @@
         harness.submit(s.Accepted(4))  # none is idle
         self.assertEqual(harness.closed, [2, 4])
 
-    def test_it_ends_when_all_is_answered_and_at_the_latest_before_sigkill(self) -> None:
+    def test_after_sigterm_it_exits_when_all_calls_are_answered_and_always_before_sigkill(self) -> None:
         for answered in (True, False):
             harness = SessionHarness()
             harness.deliver(1, set_up(5, wait_ms=9000))
@@ -685,19 +686,19 @@
             self.assertFalse(harness.exited)
             harness.pass_time(2)
             self.assertEqual(harness.exited, answered)
-            # What is open when SIGKILL is near is answered: 3 s and 0.7 s after SIGTERM it may come.
+            # Calls still open shortly before SIGKILL are answered. It may come 3.7 s after SIGTERM: 3 s and 0.7 s more.
             written = harness.pass_time(3 * SECOND - 100_000)
             self.assertEqual([m.call for k, m in written if k == 1], [] if answered else [5])
             self.assertTrue(harness.exited)
 
-    def test_at_the_end_connections_close_one_by_one_and_what_still_comes_is_refused(self) -> None:
+    def test_before_the_exit_connections_close_one_by_one_and_late_set_ups_are_refused(self) -> None:
         harness = SessionHarness()
         harness.submit(s.Accepted(2))
-        unread = {2}  # a set-up lies in its socket, so that it cannot be closed yet
-        steps = harness.session.step
+        unread = {2}  # streams with a set-up in the socket, so that they cannot be closed yet
+        original_step = harness.session.step
 
-        def step(now: int, happened: s.Input) -> list[s.Effect]:
-            effects = steps(now, happened)
+        def step(now: int, input_: s.Input) -> list[s.Effect]:
+            effects = original_step(now, input_)
             return [e for e in effects if not (isinstance(e, s.CloseIdle) and e.stream in unread)]
 
         harness.session.step = step  # type: ignore[method-assign]
@@ -710,13 +711,13 @@
         harness.pass_time(limits.SIGTERM_CLOSE_INTERVAL_US)
         self.assertEqual((harness.closed, harness.exited), ([1, 2], True))
 
-    def test_a_set_up_that_comes_as_all_is_answered_for_the_end_is_answered_and_is_no_fault(self) -> None:
-        # The module was offered a call that had been failed in the same step, and sent it.
+    def test_a_set_up_that_arrives_as_all_calls_are_answered_for_the_exit_causes_no_error(self) -> None:
+        # Prevents that the decision module is offered a call that failed in the same step and sends a set-up for it.
         harness = SessionHarness(remote_exchanges=3)
         harness.submit(s.Terminate())
         last_us = harness.session.phases.answer_all_by_us
         for call in range(10, 14):
-            harness.deliver(1, set_up(call, to=1 + call % 2 * 2, wait_ms=9000))  # something to wait for
+            harness.deliver(1, set_up(call, to=1 + call % 2 * 2, wait_ms=9000))  # keeps the program from exiting
             harness.pass_time((last_us - harness.session.phases.sigterm_us) // 4 - 1)
         harness.deliver(1, set_up(5, wait_ms=9000))
         harness.now = last_us
@@ -725,37 +726,38 @@
         self.assertEqual(harness.session.counters["errors"], 0)
         self.assertNotIn(6, harness.session.decision_module.controller.calls)
 
-    def test_a_clock_set_back_does_not_reach_the_module(self) -> None:
+    def test_a_clock_that_is_set_back_does_not_reach_the_decision_module(self) -> None:
         harness = SessionHarness()
         times: list[int] = []
         handle = harness.session.decision_module.controller.handle
         harness.session.decision_module.controller.handle = lambda now, event: times.append(now) or handle(now, event)  # type: ignore
-        for back in (0, 5 * SECOND):
-            harness.now -= back
-            harness.deliver(1, set_up(5 + back))
+        for set_back_us in (0, 5 * SECOND):
+            harness.now -= set_back_us
+            harness.deliver(1, set_up(5 + set_back_us))
         self.assertEqual(times, sorted(times))
 
 
 class Channel(unittest.TestCase):
-    """What a channel that fails would have told counts as told 6 s after it could be told, 4 s after a stop."""
+    """The command channel is reconnected in time: an update counts as received 6 s after a failing channel could
+    deliver it, and 4 s after a channel has become silent."""
 
-    def test_a_discovery_that_answers_late_is_heard_in_the_end(self) -> None:
+    def test_a_discovery_service_that_answers_late_is_not_given_up_too_early(self) -> None:
         for late_us in (SECOND // 2, 2 * SECOND, 3 * SECOND):
             harness = SessionHarness()
-            began, heard = harness.now, False
-            while harness.now < began + 20 * SECOND and not heard:
+            began, answered_in_time = harness.now, False
+            while harness.now < began + 20 * SECOND and not answered_in_time:
                 harness.pass_time(SECOND // 20)
-                asked = (
+                connected_us = (
                     harness.session.channel.last_received_us
                     if not harness.session.channel.has_answered
                     else harness.now
                 )
-                if len(harness.channel_connects) > 1 and harness.now - asked >= late_us:
-                    heard = True
-            self.assertTrue(heard, f"{late_us}")
+                if len(harness.channel_connects) > 1 and harness.now - connected_us >= late_us:
+                    answered_in_time = True
+            self.assertTrue(answered_in_time, f"{late_us}")
 
-    def test_a_silent_discovery_is_asked_again_in_time_whenever_it_comes_back(self) -> None:
-        # The connection asked for just before it comes back stays silent; the next one tells.
+    def test_a_silent_discovery_service_is_reconnected_in_time_whenever_it_recovers(self) -> None:
+        # A connection opened just before it recovers stays silent; the next one delivers the updates.
         harness = SessionHarness()
         harness.pass_time(30 * SECOND)
         before = len(harness.channel_connects)
@@ -769,7 +771,7 @@
         longest = limits.CHANNEL_CONNECT_TIMEOUT_MAX_US + limits.CHANNEL_RECONNECT_PAUSE_US + wait
         self.assertLess(longest, 6 * SECOND - SECOND // 2)
 
-    def test_new_configurations_in_a_row_do_not_end_a_connection_to_the_same_address(self) -> None:
+    def test_new_configurations_in_a_row_do_not_close_the_connection_to_the_same_address(self) -> None:
         harness = SessionHarness()
         settings = harness.session.classes.settings
         for _ in range(20):
@@ -781,19 +783,19 @@
     def setUp(self) -> None:
         self.harness = SessionHarness()
 
-    def test_a_break_is_followed_at_once_and_further_ones_after_a_pause(self) -> None:
+    def test_it_reconnects_at_once_after_a_failure_and_after_a_pause_from_the_second_on(self) -> None:
         harness, begin = self.harness, self.harness.now
         harness.submit(s.ChannelLost("closed"))
         self.assertEqual(len(harness.channel_connects), 2)
         harness.submit(s.ChannelLost("refused"))
         self.assertEqual(len(harness.channel_connects), 2)
-        for _ in range(8):  # each takes its whole time to fail
+        for _ in range(8):  # each connect takes its whole time-out to fail
             harness.pass_time(limits.CHANNEL_RECONNECT_PAUSE_US)
             harness.submit(s.ChannelLost("timed out"))
         self.assertEqual(len(harness.channel_connects), 10)
         self.assertLess(harness.now - begin, 2 * SECOND)
 
-    def test_a_silent_channel_is_asked_again_well_within_4_s(self) -> None:
+    def test_a_silent_channel_is_reconnected_well_within_4_s(self) -> None:
         harness = self.harness
         for _ in range(8):
             harness.pass_time(SECOND)
@@ -807,16 +809,16 @@
             harness.channel_connects[1:], [s.ConnectChannel(("127.0.0.1", 9), 2, limits.CHANNEL_CONNECT_TIMEOUT_US)]
         )
 
-    def test_an_event_written_twice_or_known_counts_once(self) -> None:
-        # The whole list of the start, coming again, would bring back an exchange that has gone.
+    def test_an_update_that_is_repeated_or_known_counts_once(self) -> None:
+        # Otherwise the full list of the start, repeated, would restore an exchange that has gone.
         harness = self.harness
-        whole = p.ListUpdate(1, i.ListKind.FULL, tuple(exchange_record(k) for k in range(3)))
+        full_list = p.ListUpdate(1, i.ListKind.FULL, tuple(exchange_record(k) for k in range(3)))
         gone = p.ListUpdate(2, i.ListKind.CHANGES, (exchange_record(1, state=i.ListState.GONE),))
         draining = p.ListUpdate(3, i.ListKind.CHANGES, (exchange_record(2, state=i.ListState.DRAINING),))
         harness.submit(s.ListUpdateReceived(gone))
         count = len(harness.connects)
-        harness.submit(s.ListUpdateReceived(whole))
-        harness.submit(s.Reconfigured((whole, gone, draining), ("127.0.0.1", 10), 512, harness.settings))
+        harness.submit(s.ListUpdateReceived(full_list))
+        harness.submit(s.Reconfigured((full_list, gone, draining), ("127.0.0.1", 10), 512, harness.settings))
         self.assertNotIn(101, harness.session.exchanges.by_id)
         self.assertEqual(len(harness.connects), count)
         self.assertEqual(harness.session.exchanges.by_id[102].state, i.ListState.DRAINING)
