--- a/latchturn/session/attempts.py
+++ b/latchturn/session/attempts.py
@@ -97,7 +97,7 @@
         call = attempt.call
         self.detach(attempt)
         self.core.counters[f"attempts_{outcome.name.lower()}"] += 1
-        self.core.record(
+        self.core.record_event(
             TraceEvent.ATTEMPT_ENDED, call=call.ident, exchange=attempt.link.exchange_id,
             stream=attempt.link.ident, reason=outcome.name,
         )  # fmt: skip
@@ -125,7 +125,7 @@
             return None
         attempt.state = ATTEMPT.next_state(attempt.state, AttemptTransition.LEAVE)
         attempt.sent_us = self.core.now
-        self.core.record(
+        self.core.record_event(
             TraceEvent.ATTEMPT_SENT, call=call.ident, exchange=attempt.link.exchange_id, stream=attempt.link.ident
         )
         wait_ms = max(1, (attempt.due_us - self.core.now) // 1000)
--- a/latchturn/session/callers.py
+++ b/latchturn/session/callers.py
@@ -60,14 +60,14 @@
         reason = message.reason if isinstance(message, InvalidSetUp) else self.classes.describe_errors(message)
         if reason or isinstance(message, InvalidSetUp):
             self.core.counters["set_ups_unusable"] += 1
-            self.core.record(TraceEvent.CALL_FAILED, call=message.call, stream=caller.ident, reason=reason)
+            self.core.record_event(TraceEvent.CALL_FAILED, call=message.call, stream=caller.ident, reason=reason)
             self.calls.remember_rejected(message.call)
             self.writing.queue(caller, Release(message.call, ReleaseCause.INVALID_CONTENTS))
             self.count_fault(caller, f"too many invalid set-ups, the last with invalid {reason}")
         elif len(caller.unanswered) >= MAX_OPEN_CALLS or len(self.calls.by_id) >= MAX_CALLS or self.phases.refuse_all:
             # Protects the calls of others and the memory from a flood.
             self.core.counters["set_ups_over_budget"] += 1
-            self.core.record(
+            self.core.record_event(
                 TraceEvent.CALL_REFUSED,
                 call=message.call,
                 stream=caller.ident,
@@ -79,7 +79,7 @@
             self.writing.queue(caller, Release(message.call, ReleaseCause.CONGESTION, retry_after_ms=retry_after_ms))
         elif self.core.now >= self.phases.refuse_from_us:
             # Without this, a connection that is never idle would prevent the end of the drain.
-            self.core.record(TraceEvent.CALL_REFUSED, call=message.call, stream=caller.ident, reason="draining")
+            self.core.record_event(TraceEvent.CALL_REFUSED, call=message.call, stream=caller.ident, reason="draining")
             self.calls.remember_rejected(message.call)
             self.classes.count_outcome("declined", message.class_name)
             self.writing.queue(
--- a/latchturn/session/calls.py
+++ b/latchturn/session/calls.py
@@ -32,7 +32,7 @@
         deadline = max(deadline, self.core.now)
         call = self.by_id[set_up.call] = Call(set_up, caller.ident, deadline)
         caller.unanswered.add(set_up.call)
-        self.core.record(TraceEvent.CALL_TAKEN, call=set_up.call, stream=caller.ident)
+        self.core.record_event(TraceEvent.CALL_TAKEN, call=set_up.call, stream=caller.ident)
         self.ended.pop(set_up.call, None)
         call.timer = self.timers.set(deadline + DEADLINE_OVERRUN_US - self.core.now, TimerKind.DEADLINE, call)
         figures = set_up.figures
@@ -69,7 +69,7 @@
 
     def fail(self, call: Call, why: str) -> None:
         """Fail an open call without the decision module: caller, decision module and exchange are all notified."""
-        self.core.record(TraceEvent.CALL_FAILED, call=call.ident, stream=call.caller_stream, reason=why)
+        self.core.record_event(TraceEvent.CALL_FAILED, call=call.ident, stream=call.caller_stream, reason=why)
         self.send_final_answer(call.ident, Release(call.ident, ReleaseCause.TEMPORARY_FAILURE))
         self.abandon(call)
 
@@ -133,7 +133,7 @@
         self.exchanges.by_id[at].standing_calls.discard(call.ident)
         self.forget(call)
         self.core.counters[f"calls_{outcome.name.lower()}"] += 1
-        self.core.record(TraceEvent.CALL_ENDED, call=call.ident, exchange=at, reason=outcome.name)
+        self.core.record_event(TraceEvent.CALL_ENDED, call=call.ident, exchange=at, reason=outcome.name)
         self.core.events.append(
             i.AttemptEnded(
                 call.ident,
@@ -173,13 +173,13 @@
         ids = " ".join(f"{call.ident:016x}" for call in cut[:MAX_LOGGED_CALL_IDS])
         silent_ms = (self.core.now - exchange.last_received_us) // 1000
         text = f"{why}, last message {silent_ms} ms ago: {len(cut)} standing calls ended: {ids}"
-        self.core.record(TraceEvent.EXCHANGE_DEAD, exchange=exchange.ident, reason=text)
+        self.core.record_event(TraceEvent.EXCHANGE_DEAD, exchange=exchange.ident, reason=text)
 
     def end_by_caller(self, call: Call, cause: int) -> None:
         """Give up a call, or release it at its exchange if it stands, on a release from its caller."""
         if call.standing_exchange is None:
             self.core.counters["callers_gave_up"] += 1
-            self.core.record(TraceEvent.CALL_ABANDONED, call=call.ident, stream=call.caller_stream)
+            self.core.record_event(TraceEvent.CALL_ABANDONED, call=call.ident, stream=call.caller_stream)
             self.abandon(call)
         else:
             exchange = self.exchanges.by_id[call.standing_exchange]
--- a/latchturn/session/channel.py
+++ b/latchturn/session/channel.py
@@ -38,7 +38,9 @@
         self.connect_count += 1
         self.has_answered = False
         self.last_received_us = self.core.now
-        self.core.record(TraceEvent.CHANNEL_CONNECTING, reason=f"{address[0]}:{address[1]} after event {self.cursor}")
+        self.core.record_event(
+            TraceEvent.CHANNEL_CONNECTING, reason=f"{address[0]}:{address[1]} after event {self.cursor}"
+        )
         timeout_us = self._grown_timeout(CHANNEL_CONNECT_TIMEOUT_US, CHANNEL_CONNECT_TIMEOUT_MAX_US)
         self.core.effects.append(ConnectChannel(address, self.cursor, timeout_us))
 
@@ -59,7 +61,7 @@
     def frame_received(self, number: int) -> None:
         """Record a frame with events or an empty one."""
         if not self.has_answered:
-            self.core.record(
+            self.core.record_event(
                 TraceEvent.CHANNEL_ANSWERED,
                 reason=f"event {number}, after {self.silent_connections} connections without a frame",
             )
@@ -70,7 +72,7 @@
         if self.core.now - self.last_received_us <= self._grown_timeout(CHANNEL_SILENCE_US, CHANNEL_SILENCE_MAX_US):
             return
         self.core.counters["channel_silent"] += 1
-        self.core.record(
+        self.core.record_event(
             TraceEvent.CHANNEL_LOST, reason=f"silent, after {self.silent_connections} connections without a frame"
         )
         self.silent_connections += not self.has_answered
@@ -79,7 +81,7 @@
     def connection_lost(self, reason: str) -> None:
         """Schedule the next connect after a lost connection: at once after the first loss, else after a pause."""
         self.core.counters["channel_reconnects"] += 1
-        self.core.record(
+        self.core.record_event(
             TraceEvent.CHANNEL_LOST, reason=f"{reason}, after {self.silent_connections} connections without a frame"
         )
         pause_us = CHANNEL_RECONNECT_PAUSE_US if self.silent_connections else 0
--- a/latchturn/session/core.py
+++ b/latchturn/session/core.py
@@ -26,7 +26,9 @@
         """Ask for a log line."""
         self.effects.append(Log(text))
 
-    def record(self, event: TraceEvent, *, call: int = 0, exchange: int = 0, stream: int = 0, reason: str = "") -> None:
+    def record_event(
+        self, event: TraceEvent, *, call: int = 0, exchange: int = 0, stream: int = 0, reason: str = ""
+    ) -> None:
         """Add a state change to the trace, and to the log if its kind is in `LOGGED`."""
         record = TraceRecord(self.now, event, call, exchange, stream, reason)
         self.trace.records.append(record)
--- a/latchturn/session/decision_module.py
+++ b/latchturn/session/decision_module.py
@@ -39,4 +39,4 @@
     def record_final(self, event: TraceEvent, action: i.Refuse | i.Fail) -> None:
         """Record and count why the decision module refuses or fails a call."""
         self.core.counters[f"{event.name.lower()}.{action.reason.name.lower()}"] += 1
-        self.core.record(event, call=action.call, reason=action.reason.value)
+        self.core.record_event(event, call=action.call, reason=action.reason.value)
--- a/latchturn/session/end_notices.py
+++ b/latchturn/session/end_notices.py
@@ -43,10 +43,10 @@
             ended is not None and self.core.now - (ended.remembered_until_us - ENDED_CALL_TTL_US) >= RELEASE_HOLD_US
         )
         if caller is None or not (caller.trust or urgent):
-            self.core.record(TraceEvent.RELEASE_HELD, call=release.call)
+            self.core.record_event(TraceEvent.RELEASE_HELD, call=release.call)
             self.held.append((self.core.now + CALLER_RELEASE_TTL_US, release))
         else:
-            self.core.record(TraceEvent.RELEASE_SENT, call=release.call, stream=caller.ident)
+            self.core.record_event(TraceEvent.RELEASE_SENT, call=release.call, stream=caller.ident)
             self.writing.queue(caller, release)
 
     def send_again(self, caller: Caller) -> None:
@@ -110,7 +110,7 @@
     def check(self) -> None:
         """Called by the housekeeping: drop expired releases, and send the others on any connection once one of them has
         waited `RELEASE_HOLD_US` for a connection with a valid set-up."""
-        self.held = [held for held in self.held if held[0] > self.core.now]
+        self.held = [item for item in self.held if item[0] > self.core.now]
         if not self.held:
             return
         held_since_us = self.held[0][0] - CALLER_RELEASE_TTL_US
--- a/latchturn/session/exchanges.py
+++ b/latchturn/session/exchanges.py
@@ -75,7 +75,7 @@
                     last_alive_us=self.core.now,
                 )  # fmt: skip
             entries.append(entry)
-            self.core.record(TraceEvent.EXCHANGE_LISTED, exchange=entry.exchange, reason=entry.state.name)
+            self.core.record_event(TraceEvent.EXCHANGE_LISTED, exchange=entry.exchange, reason=entry.state.name)
             if entry.started_us > known.started_us:
                 self.calls.cut_off(known, entry.started_us, "has restarted")
             known.state, known.started_us = entry.state, entry.started_us
@@ -211,7 +211,9 @@
         call = attempt.call
         self.attempts.detach(attempt)
         self.core.counters["attempts_answered"] += 1
-        self.core.record(TraceEvent.CALL_ANSWERED, call=call.ident, exchange=exchange.ident, stream=call.caller_stream)
+        self.core.record_event(
+            TraceEvent.CALL_ANSWERED, call=call.ident, exchange=exchange.ident, stream=call.caller_stream
+        )
         self.calls.send_final_answer(call.ident, Answer(call.ident, answer.description))
         call.state = CALL.next_state(call.state, CallTransition.ANSWER)
         call.standing_exchange, call.standing_since_us, call.answer_link = exchange.ident, self.core.now, link.ident
--- a/latchturn/session/links.py
+++ b/latchturn/session/links.py
@@ -82,7 +82,7 @@
             self.core.effects.append(Close(stream))
             return
         link.change_state(StreamTransition.CONNECTED)
-        self.core.record(TraceEvent.LINK_UP, exchange=link.exchange_id, stream=stream)
+        self.core.record_event(TraceEvent.LINK_UP, exchange=link.exchange_id, stream=stream)
         link.up_since_us = self.core.now
         exchange = self.exchanges.by_id[link.exchange_id]
         self.liveness.link_connected(exchange)
--- a/latchturn/session/liveness.py
+++ b/latchturn/session/liveness.py
@@ -70,7 +70,7 @@
         exchange.last_alive_us, exchange.outage_since_us = self.core.now, 0
         if exchange.quiet_noted:
             exchange.quiet_noted = False
-            self.core.record(TraceEvent.EXCHANGE_RESPONSIVE, exchange=exchange.ident)
+            self.core.record_event(TraceEvent.EXCHANGE_RESPONSIVE, exchange=exchange.ident)
 
     def connect_failed(self, exchange: Exchange, link: Link, refused: bool) -> None:
         """Conclude from a failed connect: a time-out begins an outage, a refusal may mean that the process has died."""
@@ -185,7 +185,7 @@
             exchange.quiet_noted = True
             silent_ms = (self.core.now - exchange.last_alive_us) // 1000
             reason = f"{len(exchange.standing_calls)} standing calls, no message for {silent_ms} ms"
-            self.core.record(TraceEvent.EXCHANGE_QUIET, exchange=exchange.ident, reason=reason)
+            self.core.record_event(TraceEvent.EXCHANGE_QUIET, exchange=exchange.ident, reason=reason)
         self.open_extra_link(exchange, may_replace=True, max_wait_us=SILENT_LINK_WAIT_US)
 
     def open_extra_link(self, exchange: Exchange, may_replace: bool = False, max_wait_us: float = math.inf) -> bool:
--- a/latchturn/session/phases.py
+++ b/latchturn/session/phases.py
@@ -70,7 +70,7 @@
         open_count = sum(call.standing_exchange is None for call in self.calls.by_id.values())
         text = f"{before.name} to {self.state.name} by {transition.name}: {len(self.callers.by_stream)} connections"
         text += f", {open_count} open calls, {len(self.calls.by_id) - open_count} standing"
-        self.core.record(TraceEvent.PHASE, reason=text)
+        self.core.record_event(TraceEvent.PHASE, reason=text)
 
     def is_work_done(self) -> bool:
         """After SIGTERM: whether all calls taken are answered, all messages written, and no new set-up can arrive."""
--- a/latchturn/session/writing.py
+++ b/latchturn/session/writing.py
@@ -142,9 +142,9 @@
         """Record and count why a stream is closed."""
         if isinstance(stream, Link):
             self.core.counters[f"links_closed.{reason.name.lower()}"] += 1
-            self.core.record(
+            self.core.record_event(
                 TraceEvent.LINK_CLOSED, exchange=stream.exchange_id, stream=stream.ident, reason=reason.value
             )
         else:
             self.core.counters[f"callers_closed.{reason.name.lower()}"] += 1
-            self.core.record(TraceEvent.CALLER_CLOSED, stream=stream.ident, reason=reason.value)
+            self.core.record_event(TraceEvent.CALLER_CLOSED, stream=stream.ident, reason=reason.value)
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -315,9 +315,9 @@
 
     def released(self, written: list[tuple[int, p.Message]]) -> list[int]:
         """Ids of the exchanges to which the release of call 5 was written."""
-        links = self.harness.session.links.by_stream
+        links_by_stream = self.harness.session.links.by_stream
         release = p.Release(5, GIVE_UP)
-        return [links[stream].exchange_id for stream, message in written if stream in links and message == release]
+        return [links_by_stream[k].exchange_id for k, message in written if k in links_by_stream and message == release]
 
     def test_it_is_released_at_its_exchange_when_the_call_has_ended(self) -> None:
         harness = self.harness
@@ -622,9 +622,9 @@
         self.assertNotIn(1, harness.closed)
 
     def test_the_number_of_callers_follows_the_descriptor_limit(self) -> None:
-        for descriptors, exchanges, callers in ((384, 3, 335), (1024, 40, 864), (128, 10, 58), (96, 20, 32)):
+        for descriptors, exchanges, max_callers in ((384, 3, 335), (1024, 40, 864), (128, 10, 58), (96, 20, 32)):
             harness = SessionHarness(remote_exchanges=exchanges - 1, socket_limit=descriptors)
-            self.assertEqual(harness.session.callers.limit(), callers)
+            self.assertEqual(harness.session.callers.limit(), max_callers)
 
     def test_a_set_up_that_arrives_in_pieces_outlasts_silent_connections(self) -> None:
         harness = SessionHarness(socket_limit=12 * limits.MIN_CALLERS_DIVISOR)
@@ -656,8 +656,8 @@
         for k in range(1, 30):
             harness.deliver(1, set_up(k, wait_ms=9000))
             harness.deliver(1, p.Release(k, GIVE_UP))
-        timers = [t for _, _, t in harness.session.timers.heap if isinstance(t.subject, s.Call | s.Attempt)]
-        self.assertEqual((timers, harness.session.calls.by_id), ([], {}))
+        call_timers = [t for _, _, t in harness.session.timers.heap if isinstance(t.subject, s.Call | s.Attempt)]
+        self.assertEqual((call_timers, harness.session.calls.by_id), ([], {}))
 
 
 class DescriptorsAndTermination(unittest.TestCase):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -79,8 +79,10 @@
         session_harness.deliver(1, set_up(1))
         self.apply(session_harness, NEXT, PLAIN)
         session_harness.deliver(1, set_up(2))
-        calls = session_harness.session.decision_module.controller.calls
-        self.assertEqual([calls[1].call_class.name, calls[2].call_class.name], ["premium_quote", PLAIN.name])
+        module_calls = session_harness.session.decision_module.controller.calls
+        self.assertEqual(
+            [module_calls[1].call_class.name, module_calls[2].call_class.name], ["premium_quote", PLAIN.name]
+        )
         session_harness.deliver(session_harness.first_links[1], p.Answer(1, b"yes"))
         self.assertEqual(session_harness.figure("succeeded.premium_quote"), 1)
 
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -68,5 +68,5 @@
     def test_the_trace_is_bounded(self) -> None:
         for k in range(1, TRACE_LENGTH + 10):
             self.harness.deliver(1, p.HealthCheck(k))
-            self.harness.session.core.record(TraceEvent.CALL_TAKEN, call=k)
+            self.harness.session.core.record_event(TraceEvent.CALL_TAKEN, call=k)
         self.assertEqual(len(self.harness.session.trace_lines()), TRACE_LENGTH)
