--- a/latchturn/session/callers.py
+++ b/latchturn/session/callers.py
@@ -63,7 +63,7 @@
             self.core.record_event(TraceEvent.CALL_FAILED, call=message.call, stream=caller.ident, reason=reason)
             self.calls.remember_rejected(message.call)
             self.writing.queue(caller, Release(message.call, ReleaseCause.INVALID_CONTENTS))
-            self.count_fault(caller, f"too many invalid set-ups, the last with invalid {reason}")
+            self.count_fault(caller, f"too many invalid set-ups, last reason: {reason}")
         elif len(caller.unanswered) >= MAX_OPEN_CALLS or len(self.calls.by_id) >= MAX_CALLS or self.phases.refuse_all:
             # Protects the calls of others and the memory from a flood.
             self.core.counters["set_ups_over_budget"] += 1
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -317,7 +317,11 @@
         """Ids of the exchanges to which the release of call 5 was written."""
         links_by_stream = self.harness.session.links.by_stream
         release = p.Release(5, GIVE_UP)
-        return [links_by_stream[k].exchange_id for k, message in written if k in links_by_stream and message == release]
+        return [
+            links_by_stream[stream].exchange_id
+            for stream, message in written
+            if stream in links_by_stream and message == release
+        ]
 
     def test_it_is_released_at_its_exchange_when_the_call_has_ended(self) -> None:
         harness = self.harness
