--- a/rig/discovery.py
+++ b/rig/discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in for discovery: the command channel of one process of the program, and its outages."""
+"""A simulated discovery service: the command channel to the program, and outages of discovery."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 from .clock import now_us
 from .record import ListEvent, Record
-from .sockets import DeafListener, host_of, reset, send_all
+from .sockets import SuspendableListener, close_with_reset, loopback_address, send_all
 
 HEARTBEAT_S = 1.0
-EMPTY_FRAME = bytes(4)
-STATES = {"ready": 0, "draining": 1, "gone": 2}
+HEARTBEAT_FRAME = bytes(4)  # a frame without content
+STATE_CODES = {"ready": 0, "draining": 1, "gone": 2}
 
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """One exchange as discovery has it."""
+    """One exchange as it stands in the exchange list of discovery."""
 
-    ident: int
-    number: int  # cell
+    exchange_id: int
+    exchange_number: int  # the destination number of the exchange; a replacement has the same
     host: str
     port: int
     state: str = "ready"
@@ -32,32 +32,32 @@
 
 
 @dataclass(slots=True)
-class Published:
-    """One event of the command channel."""
+class PublishedEvent:
+    """One event of the command channel and the times at which it was published and first sent."""
 
     endpoint: Endpoint
-    at_us: int
+    published_us: int
     delivered_us: int = 0
 
 
 class Discovery:
-    """The list as it is, and the events since the program's present process was started."""
+    """The present exchange list, and the events since the present process of the program was started."""
 
     def __init__(self, port: int, record: Record) -> None:
         self.port = port
         self.record = record
         self.endpoints: dict[int, Endpoint] = {}
-        self.events: list[Published] = []
-        self.host = host_of(record.seed)
-        self.listener = DeafListener(self.host, port)
-        self.reachable_us = 0  # since when it can be reached, 0 while it cannot
+        self.events: list[PublishedEvent] = []
+        self.host = loopback_address(record.seed)
+        self.listener = SuspendableListener(self.host, port)
+        self.reachable_us = 0  # start of the time in which it answers, 0 during an outage
         self._silent = False
         self._delay_s = 0.0
         self._changed = trio.Event()
         self._connections: set[trio.socket.SocketType] = set()
 
     async def run(self) -> None:
-        """Accept and tell until cancelled."""
+        """Accept connections of the program and serve them until cancelled."""
         await self.listener.open()
         self.reachable_us = now_us()
         async with trio.open_nursery() as nursery:
@@ -68,36 +68,42 @@
     # --- the list ---
 
     def publish(self, endpoint: Endpoint) -> None:
-        """Discovery has a change from now on."""
-        self.endpoints[endpoint.ident] = endpoint
+        """Change the list and send the change to the program."""
+        self.endpoints[endpoint.exchange_id] = endpoint
         if endpoint.state == "gone":
-            del self.endpoints[endpoint.ident]
-        self.events.append(Published(endpoint, now_us()))
+            del self.endpoints[endpoint.exchange_id]
+        self.events.append(PublishedEvent(endpoint, now_us()))
         self._changed.set()
         self._changed = trio.Event()
 
-    def set_state(self, ident: int, state: str) -> None:
-        """An exchange drains, or is gone."""
-        if ident in self.endpoints:
-            self.publish(replace(self.endpoints[ident], state=state))
+    def set_state(self, exchange_id: int, state: str) -> None:
+        """Publish a new state (draining, gone) of an exchange, if it is in the list."""
+        if exchange_id in self.endpoints:
+            self.publish(replace(self.endpoints[exchange_id], state=state))
 
-    def start_anew(self) -> None:
-        """A process of the program is about to start: events are counted anew for it."""
-        self.settle()
-        self.first = list(self.endpoints.values())
+    def begin_process(self) -> None:
+        """Restart the numbering of events for a process of the program that is about to start."""
+        self.record_events()
+        self.snapshot = list(self.endpoints.values())
 
-    def known(self) -> dict[str, object]:
-        """The events so far, as the configuration holds them."""
-        commands = [_command(1, True, self.first)]
-        commands += [_command(k, False, [event.endpoint]) for k, event in enumerate(self.events, 2)]
+    def known_events(self) -> dict[str, object]:
+        """Return the snapshot and the events so far, as the value of `known` in the configuration."""
+        commands = [channel_command(1, True, self.snapshot)]
+        commands += [channel_command(k, False, [event.endpoint]) for k, event in enumerate(self.events, 2)]
         return {"cursor": len(commands), "cmds": commands}
 
-    def settle(self) -> None:
-        """Enter the events so far in the record, and begin anew."""
+    def record_events(self) -> None:
+        """Enter the events so far in the record and clear them."""
         for event in self.events:
-            reachable = max(event.at_us, self.reachable_us) if self.reachable_us else 0
+            reachable_us = max(event.published_us, self.reachable_us) if self.reachable_us else 0
             self.record.list_events.append(
-                ListEvent(event.endpoint.ident, event.endpoint.state, event.at_us, reachable, event.delivered_us)
+                ListEvent(
+                    event.endpoint.exchange_id,
+                    event.endpoint.state,
+                    event.published_us,
+                    reachable_us,
+                    event.delivered_us,
+                )
             )
         self.events = []
 
@@ -105,44 +111,44 @@
 
     def _drop_connections(self) -> None:
         for sock in list(self._connections):
-            reset(sock)
+            close_with_reset(sock)
         self._connections.clear()
 
-    def go_down(self, deaf: bool) -> None:
-        """Refuse connects, or answer none at all; open connections are reset or stay silent."""
+    def start_outage(self, unresponsive: bool) -> None:
+        """Start an outage: stop replying on all connections, or refuse connects and reset open connections."""
         self.reachable_us = 0
-        if deaf:
+        if unresponsive:
             self._silent = True
-            self.listener.deafen()
+            self.listener.suspend()
         else:
             self._drop_connections()
             self.listener.close()
 
-    def fall_silent(self) -> None:
-        """Accept, and tell nothing."""
+    def stop_responding(self) -> None:
+        """Start an outage: accept connections but send nothing on any."""
         self.reachable_us = 0
         self._silent = True
 
-    async def come_back(self) -> None:
-        """Serve again; connections from before stay as they are, silent ones stay silent."""
+    async def end_outage(self) -> None:
+        """End an outage; connections from before it stay open and silent."""
         if self.reachable_us:
             return
         silent, self._silent = self._silent, False
         if silent:
-            self.listener.hear()
+            self.listener.resume()
         else:
             await self.listener.open()
         self.reachable_us = now_us()
         self._connections.clear()
 
-    def slow_down(self, delay_s: float) -> None:
-        """Take some time before the first frame of a connection."""
+    def delay_first_frame(self, delay_s: float) -> None:
+        """Delay the first frame of each further connection."""
         self._delay_s = delay_s
 
     # --- connections ---
 
     async def serve(self, sock: trio.socket.SocketType) -> None:
-        """One connection of the program."""
+        """Serve one connection of the program: events as they come, a heartbeat while there are none."""
         self._connections.add(sock)
         with sock, contextlib.suppress(OSError, trio.ClosedResourceError):
             cursor = await self.read_cursor(sock)
@@ -150,17 +156,17 @@
             if self._silent:
                 await trio.sleep_forever()
             while sock in self._connections:
-                cursor = await self.tell(sock, cursor)
+                cursor = await self.send_events(sock, cursor)
                 with trio.move_on_after(HEARTBEAT_S):
                     await self._changed.wait()
                 if self._silent:
                     await trio.sleep_forever()
             if cursor >= 0:
-                await trio.sleep_forever()  # from before an outage: open and silent
+                await trio.sleep_forever()  # the connection is from before an outage: keep it open and silent
 
     @staticmethod
     async def read_cursor(sock: trio.socket.SocketType) -> int:
-        """The number of the last event that the program has."""
+        """Read the number of the last event that the program has received."""
         data = b""
         while len(data) < p.CURSOR.size:
             more = await sock.recv(p.CURSOR.size - len(data))
@@ -169,34 +175,34 @@
             data += more
         return int(p.CURSOR.unpack(data)[0])
 
-    async def tell(self, sock: trio.socket.SocketType, cursor: int) -> int:
-        """Write the events after a number, or an empty frame; the number of the last one written."""
+    async def send_events(self, sock: trio.socket.SocketType, cursor: int) -> int:
+        """Write the events after event `cursor`, or a heartbeat; return the number of the last event written."""
         waiting = list(enumerate(self.events, 2))[max(0, cursor - 1) :]
         for number, event in waiting:
-            await send_all(sock, encode(number, event.endpoint))
+            await send_all(sock, encode_frame(number, event.endpoint))
             event.delivered_us = event.delivered_us or now_us()
             cursor = number
         if not waiting:
-            await send_all(sock, EMPTY_FRAME)
+            await send_all(sock, HEARTBEAT_FRAME)
         return cursor
 
 
-def _command(number: int, whole: bool, endpoints: list[Endpoint]) -> dict[str, object]:
-    """One event as the configuration holds it."""
+def channel_command(number: int, is_snapshot: bool, endpoints: list[Endpoint]) -> dict[str, object]:
+    """Return one event in the form of the configuration."""
     listed = [
         {
-            "name": f"s-{e.ident:08x}", "address": f"{e.host}:{e.port}", "zone": "z", "type": "std",
-            "group": e.number, "status": e.state, "weight": 1, "since_ms": e.started_ms,
+            "name": f"s-{e.exchange_id:08x}", "address": f"{e.host}:{e.port}", "zone": "z", "type": "std",
+            "group": e.exchange_number, "status": e.state, "weight": 1, "since_ms": e.started_ms,
         }
         for e in endpoints
     ]  # fmt: skip
-    return {"cursor": number, "nodes": {"index": number, "snapshot": whole, "endpoints": listed}}
+    return {"cursor": number, "nodes": {"index": number, "snapshot": is_snapshot, "endpoints": listed}}
 
 
-def encode(number: int, endpoint: Endpoint) -> bytes:
-    """One change as a frame."""
+def encode_frame(number: int, endpoint: Endpoint) -> bytes:
+    """Encode a change of one exchange as a frame of the command channel."""
     record = p.RECORD.pack(
-        endpoint.ident, socket.inet_aton(endpoint.host), endpoint.port, STATES[endpoint.state], 0, 0, endpoint.number,
-        1000, endpoint.started_ms,
+        endpoint.exchange_id, socket.inet_aton(endpoint.host), endpoint.port, STATE_CODES[endpoint.state], 0, 0,
+        endpoint.exchange_number, 1000, endpoint.started_ms,
     )  # fmt: skip
     return p.FRAME_HEADER.pack(p.FRAME_HEADER.size - 4 + len(record), number, 2) + record
--- a/rig/exchange.py
+++ b/rig/exchange.py
@@ -1,7 +1,7 @@
-"""A stand-in for one exchange, as a process of its own: `python -m rig.exchange HOST PORT OPTIONS SEED`.
+"""A simulated exchange in a process of its own: `python -m rig.exchange HOST PORT OPTIONS SEED`.
 
-It speaks the platform's protocol as docs/soak.md says, writes one JSON line per event to standard output and takes new
-options as JSON lines on standard input. It must know nothing of the rules that a trial checks.
+It implements the exchange side of the protocol as docs/soak.md describes it, writes one JSON line per event to standard
+output and reads new options as JSON lines from standard input. It must not depend on the rules that a trial checks.
 """
 
 from __future__ import annotations
@@ -21,67 +21,67 @@
 from latchturn import protocol as p
 
 from .clock import now_us
-from .sockets import reset, send_all
+from .sockets import close_with_reset, send_all
 
-GROUP_STATES_MOST = 4  # open connections that are told group states
-RECEIVE = 64 * 1024
-PIECES_S = (0.001, 0.008)  # between two pieces of a message: a connection still carries a hundred a second
+MAX_GROUP_STATE_RECIPIENTS = 4  # open connections that receive each change of the group state
+RECEIVE_BYTES = 64 * 1024
+PIECE_PAUSE_S = (0.001, 0.008)  # pause between two pieces; a connection still carries a hundred messages per second
 
 
 @dataclass(slots=True)
-class Options:
-    """What the exchange does wrong, and its pace. Shares are between 0 and 1."""
+class ExchangeOptions:
+    """The timing and the faults of the exchange. Shares are between 0 and 1."""
 
     size: int = 40  # circuits
-    answer_ms: tuple[int, int] = (3, 30)
-    hold_ms: tuple[int, int] = (1500, 8000)
-    refuse: float = 0.0  # set-ups refused as full
-    fail: float = 0.0  # set-ups that end in an error
-    reset: float = 0.0  # set-ups under which the connection is reset
-    lose_answer: float = 0.0
-    second_answer: float = 0.0
-    spoil_answer: float = 0.0  # answers that cannot be read
-    pieces: float = 0.0  # messages that leave in pieces
+    answer_ms: tuple[int, int] = (3, 30)  # shortest and longest time from set-up to answer
+    hold_ms: tuple[int, int] = (1500, 8000)  # shortest and longest time from answer to end
+    refuse: float = 0.0  # set-ups refused with NO_CIRCUIT
+    fail: float = 0.0  # set-ups refused with RESOURCE_UNAVAILABLE
+    reset: float = 0.0  # set-ups on which the exchange resets the connection
+    lose_answer: float = 0.0  # answers that are not sent
+    second_answer: float = 0.0  # answers that are sent twice
+    spoil_answer: float = 0.0  # answers that are sent corrupted
+    pieces: float = 0.0  # messages that are written in two pieces
 
 
 @dataclass(slots=True, eq=False)
 class Connection:
-    """One connection of a session controller."""
+    """One connection from a session controller."""
 
     sock: trio.socket.SocketType
     number: int
     peer_port: int
-    waiting: deque[bytes]
-    wake: trio.Event
+    outbox: deque[bytes]
+    writer_wakeup: trio.Event
     closed: bool = False
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """A set-up, and the call that it may become."""
+    """A set-up, and the call after its answer."""
 
-    ident: int
+    call_id: int
     connection: Connection
     scope: trio.CancelScope
-    stands: bool = False
+    answered: bool = False
 
 
 class Exchange:
-    """The state of one exchange."""
+    """The state of one simulated exchange."""
 
-    def __init__(self, host: str, port: int, options: Options, seed: int) -> None:
+    def __init__(self, host: str, port: int, options: ExchangeOptions, seed: int) -> None:
         self.host = host
         self.port = port
         self.options = options
         self.random = random.Random(seed)
         self.connections: list[Connection] = []
         self.calls: dict[int, Call] = {}
-        self.untold: dict[int, bytes] = {}  # releases that are to be sent on the next connection too
+        self.pending_releases: dict[int, bytes] = {}  # releases to repeat on the next connection, by call id
         self.accepted = 0
         self.nursery: trio.Nursery
 
     async def run(self) -> None:
-        """Serve until the process is ended."""
+        """Accept connections and read options until the process is ended."""
         listener = trio.socket.socket()
         listener.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_REUSEADDR, 1)
         await listener.bind((self.host, self.port))
@@ -93,212 +93,218 @@
                 sock, _ = await listener.accept()
                 self.nursery.start_soon(self.serve, sock)
 
-    def report(self, event: str, call: int = 0, port: int = 0) -> None:
-        """Tell the trial of an event; the port is that of the peer's end of the connection which it concerns, or
-        the exchange's own of an answer."""
-        sys.stdout.write(json.dumps({"at": now_us(), "event": event, "call": call, "port": port}) + "\n")
+    def report(self, event: str, call_id: int = 0, port: int = 0) -> None:
+        """Report an event to the trial.
+
+        For "answered" the port is the exchange's own. For "told", which reports that the release of an ended call was
+        sent, it is the peer's port of the connection.
+        """
+        sys.stdout.write(json.dumps({"at": now_us(), "event": event, "call": call_id, "port": port}) + "\n")
         sys.stdout.flush()
 
     async def read_options(self) -> None:
-        """Take new options as they come."""
+        """Apply new options as they arrive; names that are no options are ignored."""
         stream = trio.wrap_file(sys.stdin)
         async for line in stream:
-            known = {field.name for field in fields(Options)}
-            changes = {name: value for name, value in json.loads(line).items() if name in known}
-            self.options = Options(**{**asdict(self.options), **changes})
+            option_names = {field.name for field in fields(ExchangeOptions)}
+            changes = {name: value for name, value in json.loads(line).items() if name in option_names}
+            self.options = ExchangeOptions(**{**asdict(self.options), **changes})
 
     def happens(self, share: float) -> bool:
-        """Draw whether something of a given share happens now."""
+        """Draw whether an event with a given share happens."""
         return self.random.random() < share
 
     def draw_seconds(self, span_ms: tuple[int, int]) -> float:
-        """A time within a span, in seconds."""
+        """Draw a time within a span; in seconds."""
         return self.random.uniform(*span_ms) / 1000
 
     # --- connections ---
 
     async def serve(self, sock: trio.socket.SocketType) -> None:
-        """One connection, from its group state to its end; one that has ended in the queue was never open."""
-        if self.has_ended(sock):
+        """Serve one connection: send the initial messages, then read and write until it ends.
+
+        A connection that the peer has closed while it was in the accept queue is closed without being served.
+        """
+        if self.peer_has_closed(sock):
             sock.close()
             return
         self.accepted += 1
         connection = Connection(sock, self.accepted, peer_port(sock), deque(), trio.Event())
         self.connections.append(connection)
         self.send(connection, p.encode(self.group_state()))
-        for call, data in self.untold.items():
-            self.tell_end(connection, call, data)
-        self.untold.clear()
+        for call_id, data in self.pending_releases.items():
+            self.send_end(connection, call_id, data)
+        self.pending_releases.clear()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.write, connection)
             await self.read(connection)
             nursery.cancel_scope.cancel()
-        self.drop(connection)
+        self.close_connection(connection)
 
     @staticmethod
-    def has_ended(sock: trio.socket.SocketType) -> bool:
-        """Whether the peer has closed or reset a connection already."""
-        with socket.socket(fileno=os.dup(sock.fileno())) as look:
+    def peer_has_closed(sock: trio.socket.SocketType) -> bool:
+        """Whether the peer has already closed or reset the connection."""
+        with socket.socket(fileno=os.dup(sock.fileno())) as duplicate:
             try:
-                return not look.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+                return not duplicate.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
             except BlockingIOError:
                 return False
             except OSError:
                 return True
 
     async def read(self, connection: Connection) -> None:
-        """Hear messages until the connection ends."""
+        """Handle messages until the connection ends."""
         decoder = p.message_decoder()
         with contextlib.suppress(OSError, trio.ClosedResourceError, p.ProtocolError):
-            while data := await connection.sock.recv(RECEIVE):
+            while data := await connection.sock.recv(RECEIVE_BYTES):
                 for message in decoder.feed(data):
-                    self.hear(connection, message)
+                    self.handle_message(connection, message)
 
     async def write(self, connection: Connection) -> None:
-        """Write what waits, some of it in pieces."""
+        """Write the queued messages, some of them in two pieces."""
         with contextlib.suppress(OSError, trio.ClosedResourceError):
             while True:
-                while connection.waiting:
-                    data = connection.waiting.popleft()
+                while connection.outbox:
+                    data = connection.outbox.popleft()
                     if self.happens(self.options.pieces):
                         middle = self.random.randrange(1, len(data))
                         await send_all(connection.sock, data[:middle])
-                        await trio.sleep(self.random.uniform(*PIECES_S))
+                        await trio.sleep(self.random.uniform(*PIECE_PAUSE_S))
                         data = data[middle:]
                     await send_all(connection.sock, data)
-                connection.wake = trio.Event()
-                await connection.wake.wait()
+                connection.writer_wakeup = trio.Event()
+                await connection.writer_wakeup.wait()
 
     def send(self, connection: Connection, data: bytes) -> None:
-        """Put bytes in line for a connection."""
-        connection.waiting.append(data)
-        connection.wake.set()
+        """Queue one encoded message on a connection."""
+        connection.outbox.append(data)
+        connection.writer_wakeup.set()
 
-    def drop(self, connection: Connection, abort: bool = False) -> None:
-        """A connection has ended: the set-ups open on it are given up."""
+    def close_connection(self, connection: Connection, abort: bool = False) -> None:
+        """Close a connection and drop its unanswered set-ups; answered calls stay."""
         if connection.closed:
             return
         connection.closed = True
         self.connections.remove(connection)
         if abort:
-            reset(connection.sock)
+            close_with_reset(connection.sock)
         else:
             connection.sock.close()
-        for call in [c for c in self.calls.values() if c.connection is connection and not c.stands]:
+        for call in [c for c in self.calls.values() if c.connection is connection and not c.answered]:
             call.scope.cancel()
-            if self.calls.get(call.ident) is call:
-                del self.calls[call.ident]
+            if self.calls.get(call.call_id) is call:
+                del self.calls[call.call_id]
 
     # --- calls ---
 
     def group_state(self) -> p.GroupState:
-        """The free circuits as they are now."""
+        """Return the present number of free circuits as a message."""
         free = max(0, self.options.size - len(self.calls))
         return p.GroupState(0, {"spare": free, "total": self.options.size, "allowed": 200})
 
-    def tell_group(self) -> None:
-        """Tell the open connections that the free circuits have changed."""
+    def send_group_state(self) -> None:
+        """Send the changed number of free circuits on the first open connections."""
         data = p.encode(self.group_state())
-        for connection in self.connections[:GROUP_STATES_MOST]:
+        for connection in self.connections[:MAX_GROUP_STATE_RECIPIENTS]:
             self.send(connection, data)
 
-    def hear(self, connection: Connection, message: p.Message) -> None:
-        """One message of a session controller."""
+    def handle_message(self, connection: Connection, message: p.Message) -> None:
+        """Handle one message of a session controller."""
         if isinstance(message, p.SetUp):
-            self.hear_set_up(connection, message)
+            self.handle_set_up(connection, message)
         elif isinstance(message, p.Release):
-            self.hear_release(connection, message)
+            self.handle_release(connection, message)
         elif isinstance(message, p.HealthCheck):
             self.send(connection, p.encode(p.HealthCheckResult(message.call, True)))
 
-    def hear_set_up(self, connection: Connection, message: p.SetUp) -> None:
-        """A set-up is refused, fails, is passed over or becomes a call."""
+    def handle_set_up(self, connection: Connection, message: p.SetUp) -> None:
+        """Refuse or fail a set-up, reset its connection, or start a call."""
         refusal = None
         if len(self.calls) >= self.options.size or self.happens(self.options.refuse):
             refusal = p.Release(message.call, p.ReleaseCause.NO_CIRCUIT, "no_circuit")
         elif self.happens(self.options.fail):
             refusal = p.Release(message.call, p.ReleaseCause.RESOURCE_UNAVAILABLE)
         elif self.happens(self.options.reset):
-            self.drop(connection, abort=True)
+            self.close_connection(connection, abort=True)
             return
         if refusal is not None:
             self.send(connection, p.encode(refusal))
             return
-        if (before := self.calls.pop(message.call, None)) is not None:
-            before.scope.cancel()  # an attempt whose answer was lost: the new one takes its place
-            self.report("released", before.ident)
+        if (previous := self.calls.pop(message.call, None)) is not None:
+            previous.scope.cancel()  # an attempt whose answer was lost; the new attempt replaces it
+            self.report("released", previous.call_id)
         call = self.calls[message.call] = Call(message.call, connection, trio.CancelScope())
         self.nursery.start_soon(partial(self.run_call, call))
 
-    def hear_release(self, connection: Connection, message: p.Release) -> None:
-        """A set-up is given up, or a call that stands is ended."""
+    def handle_release(self, connection: Connection, message: p.Release) -> None:
+        """Cancel an unanswered set-up or end an answered call, and confirm the release."""
         call = self.calls.pop(message.call, None)
         self.send(connection, p.encode(p.ReleaseConfirmed(message.call)))
         if call is not None:
             call.scope.cancel()
-            self.report("released", call.ident)
-            self.tell_group()
+            self.report("released", call.call_id)
+            self.send_group_state()
 
     async def run_call(self, call: Call) -> None:
-        """A call from its set-up to its own end."""
+        """Answer a call after its answer time and end it after its hold time."""
         with call.scope:
             await trio.sleep(self.draw_seconds(self.options.answer_ms))
             self.answer(call)
             await trio.sleep(self.draw_seconds(self.options.hold_ms))
-            self.end(call)
+            self.end_call(call)
 
     def answer(self, call: Call) -> None:
-        """The call stands from now on, whether its answer arrives or not."""
-        call.stands = True
-        self.report("answered", call.ident, self.port)
-        self.tell_group()
+        """Mark the call as answered and send the answer, unless the options lose or corrupt it."""
+        call.answered = True
+        self.report("answered", call.call_id, self.port)
+        self.send_group_state()
         if self.happens(self.options.lose_answer):
             return
-        data = p.encode(p.Answer(call.ident, description(self.port, call.ident)))
+        data = p.encode(p.Answer(call.call_id, answer_description(self.port, call.call_id)))
         if self.happens(self.options.spoil_answer):
             data = data[:2] + bytes(byte ^ 0x5A for byte in data[2:])
         self.send(call.connection, data)
         if self.happens(self.options.second_answer):
             self.send(call.connection, data)
 
-    def end(self, call: Call) -> None:
-        """The call has come to its end: tell on its connection or any other, and on the next one opened."""
-        if self.calls.get(call.ident) is not call:
+    def end_call(self, call: Call) -> None:
+        """End a call: send its release on its own or another open connection, and again on the next new one."""
+        if self.calls.get(call.call_id) is not call:
             return
-        del self.calls[call.ident]
-        self.report("ended", call.ident)
-        self.tell_group()
-        data = p.encode(p.Release(call.ident, p.ReleaseCause.NORMAL))
+        del self.calls[call.call_id]
+        self.report("ended", call.call_id)
+        self.send_group_state()
+        data = p.encode(p.Release(call.call_id, p.ReleaseCause.NORMAL))
         connection = call.connection
         if connection.closed and self.connections:
             connection = self.connections[0]
         if not connection.closed:
-            self.tell_end(connection, call.ident, data)
-        self.untold[call.ident] = data
+            self.send_end(connection, call.call_id, data)
+        self.pending_releases[call.call_id] = data
 
-    def tell_end(self, connection: Connection, call: int, data: bytes) -> None:
-        """Release a call that is over on a connection, whether anybody listens there or not."""
-        self.report("told", call, connection.peer_port)
+    def send_end(self, connection: Connection, call_id: int, data: bytes) -> None:
+        """Send the release of an ended call on a connection, whether or not its peer still reads."""
+        self.report("told", call_id, connection.peer_port)
         self.send(connection, data)
 
 
 def peer_port(sock: trio.socket.SocketType) -> int:
-    """The port at the other end of a connection, 0 if that has ended."""
+    """Return the port of the peer, or 0 if the connection has ended."""
     try:
         return int(sock.getpeername()[1])
     except OSError:
         return 0
 
 
-def description(port: int, call: int) -> bytes:
-    """What an exchange answers a call with; no other exchange and no other call has the same."""
-    return b"v=0 %d %016x\xff" % (port, call)
+def answer_description(port: int, call_id: int) -> bytes:
+    """Return the session description in the answer to a call; it differs for every exchange and every call."""
+    return b"v=0 %d %016x\xff" % (port, call_id)
 
 
 def main() -> None:
-    """Serve at the address given, with options as JSON and a seed."""
+    """Run an exchange with the address, the options as JSON and the seed of the command line."""
     host, port, options, seed = sys.argv[1], int(sys.argv[2]), json.loads(sys.argv[3]), int(sys.argv[4])
-    trio.run(Exchange(host, port, Options(**options), seed).run)
+    trio.run(Exchange(host, port, ExchangeOptions(**options), seed).run)
 
 
 if __name__ == "__main__":
--- a/rig/known_red.py
+++ b/rig/known_red.py
@@ -1,8 +1,9 @@
-"""The list of known failures, KNOWN-RED.txt: which failure of a test or a trial is passed over, and shown.
+"""Reads KNOWN-RED.txt, the list of known failures of tests and trials, which are reported but do not fail a run.
 
-One entry a line: test, failure, what was seen, issue, separated by ` | `. The test is a pytest id or `rig.soak SEED`.
-The failure is the text that the error of the test holds, or the broken rule of the trial, with `RULE: TEXT` only where
-the violation holds the text. Any other failure of the same test or trial counts.
+Each line is one entry: test, failure, what was seen, issue, separated by ` | `. The test is a pytest id or
+`rig.soak SEED`. The failure is a text contained in the error of the test, or the name of the broken rule of the trial.
+`RULE: TEXT` matches only violations of the rule whose text contains TEXT. Any other failure of the same test or trial
+counts.
 """
 
 from __future__ import annotations
@@ -14,44 +15,46 @@
 from .rules import Violation
 
 PATH = Path(__file__).parent.parent / "KNOWN-RED.txt"
-ENTRIES_MOST = 3
-FIELDS = 4
-TRIAL = "rig.soak "
+MAX_ENTRIES = 3
+FIELD_COUNT = 4
+TRIAL_PREFIX = "rig.soak "
 
 
-class ListError(ValueError):
-    """The list is not as it should be."""
+class InvalidListError(ValueError):
+    """The list has too many entries, or an entry lacks a field."""
 
 
 @dataclass(slots=True, frozen=True)
 class KnownFailure:
-    """One entry."""
+    """One entry of the list."""
 
     test: str
     failure: str
     seen: str
     issue: str
 
-    def names(self, violation: Violation) -> bool:
-        """Whether a broken rule of the trial is the one of this entry."""
+    def matches(self, violation: Violation) -> bool:
+        """Whether a violation in a trial is the failure of this entry."""
         rule, _, text = self.failure.partition(": ")
         return violation.rule == rule and text in violation.text
 
 
 def read(path: Path | None = None) -> list[KnownFailure]:
-    """The entries of the list, or of another file; ListError if there are too many, or one lacks a field."""
+    """Read the entries of KNOWN-RED.txt or of another file; raises InvalidListError."""
     path = path or PATH
     lines = [line for line in path.read_text().splitlines() if line.strip()] if path.exists() else []
     entries = [[field.strip() for field in line.split(" | ")] for line in lines]
-    if len(entries) > ENTRIES_MOST or any(len(entry) != FIELDS or not all(entry) for entry in entries):
-        raise ListError(f"{path.name}: {ENTRIES_MOST} lines at most, each 'test | failure | what was seen | issue'")
+    if len(entries) > MAX_ENTRIES or any(len(entry) != FIELD_COUNT or not all(entry) for entry in entries):
+        raise InvalidListError(
+            f"{path.name}: {MAX_ENTRIES} lines at most, each 'test | failure | what was seen | issue'"
+        )
     return [KnownFailure(*entry) for entry in entries]
 
 
-def counted(
+def split_known(
     name: str, violations: Sequence[Violation], known: Sequence[KnownFailure]
 ) -> tuple[list[Violation], list[Violation]]:
-    """The broken rules of a trial that count, and those that are passed over."""
-    entries = [entry for entry in known if entry.test == TRIAL + name]
-    passed_over = [v for v in violations if any(entry.names(v) for entry in entries)]
+    """Split the violations of the trial `name` into those that count and those that an entry passes over."""
+    entries = [entry for entry in known if entry.test == TRIAL_PREFIX + name]
+    passed_over = [v for v in violations if any(entry.matches(v) for entry in entries)]
     return [v for v in violations if v not in passed_over], passed_over
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -34,24 +34,24 @@
         All links that are opened to exchange 1 come up without a message, or are refused, or time out; with `attempts`,
         further calls are set up there.
         """
-        harness, done, call = self.harness, len(self.harness.connects), 100
+        harness, handled, call = self.harness, len(self.harness.connects), 100
         while harness.now < self.start_us + 12 * SECOND:
             written = harness.pass_time(50_000)
             if attempts and harness.now % 500_000 < 50_000:
                 call += 1
                 written += harness.deliver(1, set_up(call))
-            for asked in harness.connects[done:]:
-                stream = asked.stream
+            for connect in harness.connects[handled:]:
+                stream = connect.stream
                 if self.harness.session.links.by_stream[stream].exchange_id == 102:
                     harness.submit(s.Connected(stream))
                     harness.deliver(stream, group_state(20))
                 elif connects is not None:
                     harness.submit(s.Connected(stream))
-                elif asked.timeout_us and harness.now % 500_000 < 50_000:
+                elif connect.timeout_us and harness.now % 500_000 < 50_000:
                     written += harness.submit(s.ConnectFailed(stream, refused))
                 else:
                     break
-                done += 1
+                handled += 1
             self.harness.deliver(harness.second_links[2], group_state(harness.now // 50_000 % 20))
             if (1, END) in written:
                 return harness.now - self.start_us
@@ -106,13 +106,13 @@
         return 5 in self.harness.session.calls.by_id
 
     def test_a_quiet_exchange_that_answers_probes_keeps_its_calls(self) -> None:
-        harness, done = self.harness, len(self.harness.connects)
+        harness, handled = self.harness, len(self.harness.connects)
         for _ in range(400):
             harness.pass_time(50_000)
-            for asked in harness.connects[done:]:
-                harness.submit(s.Connected(asked.stream))
-                harness.deliver(asked.stream, group_state(12))
-            done = len(harness.connects)
+            for connect in harness.connects[handled:]:
+                harness.submit(s.Connected(connect.stream))
+                harness.deliver(connect.stream, group_state(12))
+            handled = len(harness.connects)
         self.assertTrue(self.stands())
         quiet = [r for r in harness.session.core.trace.records if r.event is TraceEvent.EXCHANGE_QUIET]
         self.assertGreaterEqual(len([r for r in quiet if r.exchange == 101]), 3)
@@ -138,12 +138,12 @@
     def test_a_connect_is_proof_of_life_for_an_exchange_without_group_states(self) -> None:
         harness = self.harness
         harness.session.exchanges.by_id[101].sends_group_states = False
-        done = len(harness.connects)
+        handled = len(harness.connects)
         for _ in range(400):
             harness.pass_time(50_000)
-            for asked in harness.connects[done:]:
-                harness.submit(s.Connected(asked.stream))
-            done = len(harness.connects)
+            for connect in harness.connects[handled:]:
+                harness.submit(s.Connected(connect.stream))
+            handled = len(harness.connects)
         self.assertTrue(self.stands())
 
     def test_a_draining_exchange_may_end_some_links_and_send_on_others(self) -> None:
@@ -188,14 +188,14 @@
         for k in range(3):
             harness.establish_call(10 + k)
         harness.submit(s.PartialMessage(harness.first_links[1], True))
-        connects, done = len(harness.connects), len(harness.connects)
+        connects, handled = len(harness.connects), len(harness.connects)
         for _ in range(60):
             harness.pass_time_with_reports(SECOND // 4, SECOND // 4)
-            for asked in harness.connects[done:]:
-                harness.submit(s.Connected(asked.stream))
-                harness.deliver(asked.stream, group_state(3))
-            done = len(harness.connects)
-        self.assertLessEqual(done - connects, 5)  # in 15 s: the replacement of the closed link, and one each 5 s
+            for connect in harness.connects[handled:]:
+                harness.submit(s.Connected(connect.stream))
+                harness.deliver(connect.stream, group_state(3))
+            handled = len(harness.connects)
+        self.assertLessEqual(handled - connects, 5)  # in 15 s: the replacement of the closed link, and one each 5 s
 
     def test_a_link_that_receives_each_group_state_a_little_later_is_not_closed(self) -> None:
         harness = self.harness
@@ -263,9 +263,7 @@
             self.bring_up_links()
         return written
 
-    def test_a_reset_of_all_links_after_a_silence_ends_the_calls_in_time_though_new_links_deliver_messages(
-        self,
-    ) -> None:
+    def test_a_reset_of_all_links_after_a_silence_ends_the_calls_in_time_though_new_links_respond(self) -> None:
         # Soak seed 25: a machine vanished, and another one had its address before any connect had failed.
         harness = self.harness
         self.reset_all_after_silence()
