--- a/latchturn/checking/environment.py
+++ b/latchturn/checking/environment.py
@@ -143,9 +143,9 @@
         self.accepting_callers = False
         # Time with each input, effect, or None for an advance of the clock; None if nobody reads it.
         self.recording: list[tuple[int, object]] | None = None
-        listed = [self._exchange_record(exchange) for exchange in self.simulated_exchanges.values()]
+        records = [self._exchange_record(exchange) for exchange in self.simulated_exchanges.values()]
         own = p.ExchangeRecord(i.ListEntry(100, 0, i.ListState.READY, 0), ("127.0.0.1", 5000))
-        update = p.ListUpdate(1, i.ListKind.FULL, (own, *listed))
+        update = p.ListUpdate(1, i.ListKind.FULL, (own, *records))
         self._submit(s.Started((update,), 1, CHANNEL_ADDRESS, scope.starts_beside_another))
         self._submit(s.ListenerReady())
         while self.connecting:
@@ -677,10 +677,10 @@
 
     # --- the list ---
 
-    def _send_list_update(self, *listed: p.ExchangeRecord) -> None:
+    def _send_list_update(self, *records: p.ExchangeRecord) -> None:
         """Send an update of the exchange list with the given records."""
         self.last_update_number += 1
-        self.last_update = p.ListUpdate(self.last_update_number, i.ListKind.CHANGES, listed)
+        self.last_update = p.ListUpdate(self.last_update_number, i.ListKind.CHANGES, records)
         self._submit(s.ListUpdateReceived(self.last_update))
 
     def _do_drain(self, exchange_id: int) -> None:
--- a/latchturn/checking/history.py
+++ b/latchturn/checking/history.py
@@ -22,7 +22,7 @@
 class ObservationKind(IntEnum):
     """What has been observed."""
 
-    CALL_TAKEN = 0  # a set-up from a caller is accepted as a new call
+    CALL_TAKEN = 0  # a caller has sent the set-up of a new call
     MESSAGE_TO_CALLER = 1  # an answer or release for a call is passed to the network for a caller
     SET_UP_SENT = 2  # a set-up is passed to the network for an exchange
     SET_UP_ARRIVED = 3  # a set-up has arrived complete at an exchange
--- a/latchturn/checking/leftovers.py
+++ b/latchturn/checking/leftovers.py
@@ -13,7 +13,10 @@
 
 
 def leftovers(session: Session, exited: bool) -> list[str]:
-    """Describe each thing that should not be left. Nothing is reported after the program has exited."""
+    """Describe each thing that should not be left.
+
+    Nothing is reported after the program has exited: the property `ends-well` then checks that no call was unanswered.
+    """
     module = session.decision_module.controller
     found = [f"call {k}" for k in session.calls.by_id]
     if exited:
--- a/latchturn/checking/plants.py
+++ b/latchturn/checking/plants.py
@@ -73,7 +73,7 @@
 @_planted_fault("mini", "the time-out of an attempt is ignored")
 def _time_out_missed() -> None:
     def wrap(original: Method) -> Method:
-        return lambda s, kind, what: None if kind is TimerKind.ATTEMPT else original(s, kind, what)
+        return lambda s, kind, subject: None if kind is TimerKind.ATTEMPT else original(s, kind, subject)
 
     _replace_method(reducer.Session, "_timer_due", wrap)
 
@@ -150,7 +150,7 @@
     _replace_method(exchanges.Exchanges, "apply_list_update", wrap)
 
 
-@_planted_fault("rude", "a set-up with the id of an answered call is accepted as a new call")
+@_planted_fault("rude", "a set-up with the id of a call that has had its final answer is accepted as a new call")
 def _answered_id_taken() -> None:
     def wrap(original: Method) -> Method:
         def replacement(self: Any, caller: Any, message: Any, unread_us: int) -> Any:
@@ -194,12 +194,12 @@
     _replace_method(end_notices.EndNotices, "send", wrap)
 
 
-@_planted_fault("mini", "the decision module's timers run 10 s late, and an overdue call is not failed")
+@_planted_fault("mini", "the timers of the decision module and the deadlines of calls run 10 s late")
 def _waits_for_ever() -> None:
     def wrap(original: Method) -> Method:
-        def replacement(self: Any, delay_us: int, kind: TimerKind, what: object = None) -> Any:
+        def replacement(self: Any, delay_us: int, kind: TimerKind, subject: object = None) -> Any:
             postponed = kind in (TimerKind.DECISION_MODULE, TimerKind.DEADLINE)
-            return original(self, delay_us + (10_000_000 if postponed else 0), kind, what)
+            return original(self, delay_us + (10_000_000 if postponed else 0), kind, subject)
 
         return replacement
 
@@ -211,7 +211,9 @@
     _replace_method(Controller, "_attempts_used_up", lambda _: lambda s, call: False)
 
 
-@_planted_fault("two", "a refusal for congestion is not sent at once")
+@_planted_fault(
+    "two", "a refusal for congestion is not sent, so the call fails only when its caller's wait is nearly over"
+)
 def _refusal_held_back() -> None:
     def wrap(original: Method) -> Method:
         def replacement(self: Any, ident: int, message: Any) -> Any:
@@ -437,9 +439,9 @@
 def _drain_taken_for_ready() -> None:
     def wrap(original: Method) -> Method:
         def replacement(self: Any, update: Any) -> Any:
-            for listed in update.records:
-                if listed.entry.state is i.ListState.DRAINING:
-                    listed.entry.state = i.ListState.READY
+            for record in update.records:
+                if record.entry.state is i.ListState.DRAINING:
+                    record.entry.state = i.ListState.READY
             return original(self, update)
 
         return replacement
--- a/latchturn/checking/properties.py
+++ b/latchturn/checking/properties.py
@@ -146,7 +146,9 @@
 
 class SetUpUnchanged(Property):
     name = "unchanged"
-    statement = "A forwarded set-up keeps its id, class, number and description, and waits no longer than its caller."
+    statement = (
+        "A forwarded set-up keeps its id, class, number and description; its wait ends no later than its caller's."
+    )
 
     def violation(self, history: History, observation: Observation) -> str | None:
         message, call = observation.message, observation.call
@@ -264,7 +266,9 @@
 
 class CleanExit(Property):
     name = "ends-well"
-    statement = "After SIGTERM the program exits before SIGKILL; calls are answered, standing calls handed over."
+    statement = (
+        "After SIGTERM the program exits before SIGKILL; calls are answered, standing ones handed to a successor."
+    )
 
     def violation(self, history: History, observation: Observation) -> str | None:
         running = observation.kind is ObservationKind.TIME_PASSED and history.sigterm_us and not history.exited
