--- a/latchturn/benchlink.py
+++ b/latchturn/benchlink.py
@@ -20,7 +20,7 @@
 from . import interface as i
 from .brain import Controller
 
-FRAME_HEADER = struct.Struct("<QII")  # time in microseconds, number of bytes that follow, number of event records
+FRAME_HEADER = struct.Struct("<QII")  # time in microseconds, number of bytes after this field, number of event records
 REPLY_HEADER = struct.Struct("<II")  # number of action records, number of bytes that follow
 EVENT_SIZE = 48  # bytes of an event record
 ACTION_SIZE = 24  # bytes of an action record
--- a/latchturn/handover.py
+++ b/latchturn/handover.py
@@ -52,8 +52,8 @@
 def send_messages(sock: trio.socket.SocketType, name: str, messages: Iterable[tuple[int, ...]]) -> None:
     """Send a message for each tuple of numbers, waiting up to `SEND_TIMEOUT_S` while the socket's buffer is full.
 
-    All messages are written together, since a write of its own takes many times the size of a message in the buffer:
-    separate writes fill the buffer and later messages are lost.
+    All messages are written together. A separate write for each takes many times the size of the message in the
+    buffer, so that the buffer fills up and later messages are lost.
     """
     data = memoryview(b"".join(_encode(name, numbers) for numbers in messages))
     writable = select.poll()
--- a/latchturn/protocol.py
+++ b/latchturn/protocol.py
@@ -40,7 +40,7 @@
 
 
 class ConfigError(Exception):
-    """The configuration is invalid; the message names the file and the problem."""
+    """The configuration is invalid; the message states the problem and usually the file."""
 
 
 class MessageType(IntEnum):
