--- a/rig/rules.py
+++ b/rig/rules.py
@@ -73,6 +73,7 @@
         return "" if process.killed_us <= due_us else "no answer before the process was killed"
     if call.closed_us and call.closed_us < min(due_us, record.ended_us):
         ended = process.exited_us and call.closed_us >= process.exited_us - _slack_us(record)
+        # The profile "rude" sends undecodable bytes, after which the program may close the connection.
         if call.client == "rude" and not ended:
             return ""
         return f"its connection was closed {(call.closed_us - call.sent_us) // 1000} ms after it, unanswered"
--- a/rig/scenario.py
+++ b/rig/scenario.py
@@ -22,12 +22,8 @@
 from .trial import Trial, new_record
 
 TimedStep = tuple[float, Callable[[Trial], Awaitable[None]]]
-WAITS_US = (
-    500 * MILLISECOND,
-    1200 * MILLISECOND,
-    3 * SECOND,
-    6 * SECOND,
-)  # longest waits of callers, one drawn per trial
+# Longest waits of callers; one of them is drawn for each trial.
+WAITS_US = (500 * MILLISECOND, 1200 * MILLISECOND, 3 * SECOND, 6 * SECOND)
 INCIDENT_WAIT_US = 9 * SECOND  # the wait in the settings of the deployment that had the incident
 FAULT_PERIOD_S = 12.0  # faults begin within this time
 QUIET_PERIOD_S = 10.0  # after the faults; longer than any limit of a rule
