--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -21,8 +21,8 @@
 from latchturn import session as s
 from latchturn.benchlink import read_settings
 
-SECOND = 1_000_000
-OWN = 0
+SECOND = 1_000_000  # in microseconds
+OWN = 0  # number of the own exchange
 
 SETTINGS = i.Settings(
     classes=(
@@ -144,7 +144,7 @@
     return [a.call for a in actions if isinstance(a, i.Refuse | i.Fail)]
 
 
-# --- the real program's settings, a reducer on a made-up clock, and a program among real sockets ---
+# --- settings of the real program, a reducer on a simulated clock, and a program on real sockets ---
 
 NESTED = {
     "allowed": {
--- a/tests/test_checking.py
+++ b/tests/test_checking.py
@@ -32,21 +32,21 @@
     def test_each_table_contains_every_pair_once(self) -> None:
         for machine in MACHINES:
             for state in machine.states:
-                for move in machine.transition_kinds:
-                    if reason := machine.impossible.get((state, move)):
+                for transition in machine.transition_kinds:
+                    if reason := machine.impossible.get((state, transition)):
                         with self.assertRaisesRegex(InvalidTransition, "cannot occur"):
-                            machine.next_state(state, move)
+                            machine.next_state(state, transition)
                         self.assertGreater(len(reason), 10)
                     else:
-                        self.assertIn(machine.next_state(state, move), list(machine.states))
+                        self.assertIn(machine.next_state(state, transition), list(machine.states))
 
     def test_a_table_with_a_missing_or_duplicate_pair_is_rejected(self) -> None:
         complete = {(a, b): CallState.OVER for a in CallState for b in CallTransition}
-        for moves, never in (({}, {}), (complete, {(CallState.OVER, CallTransition.FORGET): "x"})):
+        for transitions, impossible in (({}, {}), (complete, {(CallState.OVER, CallTransition.FORGET): "x"})):
             with self.assertRaises(ValueError):
-                Machine("broken", CallState, CallTransition, moves, never)
+                Machine("broken", CallState, CallTransition, transitions, impossible)
 
-    def test_an_impossible_move_is_counted_logged_and_fails_only_its_call(self) -> None:
+    def test_an_invalid_transition_is_counted_logged_and_fails_only_its_call(self) -> None:
         harness = SessionHarness()
         harness.deliver(1, set_up(5))
         harness.deliver(1, set_up(6, to=2))
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -351,7 +351,7 @@
     assert not past_target(harness)  # the call of the first caller has not failed yet
 
 
-def test_rule_1_queued_call_is_refused_well_before_its_deadline_in_case_the_process_stalls() -> None:
+def test_rule_1_queued_call_is_refused_well_before_its_deadline_in_case_of_a_stall() -> None:
     harness = ControllerHarness(remote_exchanges=1)
     harness.report(1, 0, throttle_share=0.5)
     first, _ = harness.offer(1, called_number=5)
@@ -366,7 +366,7 @@
     short = settings_with(max_attempts=1)
     cases = [  # settings, time from the offer to the end of the first attempt, outcome
         (short, 0, i.Outcome.NO_LINE),  # no attempt is left
-        (SETTINGS, 700_000, i.Outcome.TIMED_OUT),  # the release time ends after its time in the queue
+        (SETTINGS, 700_000, i.Outcome.TIMED_OUT),  # the release time would end later than its time in the queue
     ]
     for settings, after, outcome in cases:
         harness = ControllerHarness(settings)
@@ -375,7 +375,7 @@
         assert final_answers(harness.end_attempt(call, 1, outcome)) == [call], outcome
 
 
-def test_call_to_an_exchange_backed_off_past_its_time_in_the_queue_is_refused_at_once() -> None:
+def test_call_to_an_exchange_backed_off_past_its_queue_time_is_refused_at_once() -> None:
     harness = ControllerHarness(remote_exchanges=1)
     for _ in range(4):  # from the second unanswered attempt on each doubles the back-off
         call, _ = harness.offer(1)
@@ -398,13 +398,16 @@
         (refusal,) = [a for a in actions if isinstance(a, i.Refuse)]
         return refusal.retry_after_us
 
-    # 40 circuits held for 10 s each: one comes free every 250 ms. Past its target a call gets the longest retry-after.
+    # 40 circuits held for 10 s each: one comes free every 250 ms. Past its target, a call can wait longer.
     assert retry_after(0, 2 * SECOND, 0) == 250_000
     assert retry_after(0, 2 * SECOND, SECOND) == SETTINGS.max_retry_after_us
 
 
 def test_a_group_found_full_costs_a_call_one_attempt() -> None:
-    """A call must not spend all its attempts within milliseconds on a group whose report arrives too late."""
+    """The remote exchange may fill the trunk group before its report arrives.
+
+    A call must not spend all its attempts on the full group within milliseconds.
+    """
     harness = ControllerHarness()
     call, actions = harness.offer(1)
     assert sent_to(actions) == [1]
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -31,7 +31,7 @@
 
 class Trials(unittest.TestCase):
     def test_failure_with_another_rule_text_or_seed_counts(self) -> None:
-        named = Violation("end not told", 1, "call 5 at 102: told -1 ms after its end")
+        named = Violation("end not told", 1, "call 5 at 102: release reached the client -1 ms after the end")
         others = [Violation("drain", 1, "call 5 at 102"), Violation("end not told", 1, "call 6 at 103")]
         self.assertEqual(known_red.split_known("7", [named, *others], [ENTRY]), (others, [named]))
         self.assertEqual(known_red.split_known("8", [named], [ENTRY]), ([named], []))
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -1,5 +1,4 @@
-"""The failure detector: which evidence ends the calls of an exchange that does not report their end, and which does
-not."""
+"""The failure detector: which evidence ends calls whose end the exchange does not report, and which does not."""
 
 from __future__ import annotations
 
@@ -14,7 +13,8 @@
 from .helpers import SECOND, SessionHarness, exchange_record, group_state, set_up
 
 END = p.Release(5, p.ReleaseCause.TEMPORARY_FAILURE)
-NOTIFY_LIMIT_US = 8 * SECOND  # to notify the caller, from the end of a call that its exchange cannot report
+# To notify the caller, from the end of a call that its exchange cannot report (docs: the rules on sockets).
+NOTIFY_LIMIT_US = 8 * SECOND
 MIN_SILENCE_US = 6 * SECOND  # the calls of an exchange that has been silent for less must go on
 
 
@@ -173,16 +173,15 @@
         harness.pass_time_with_reports(4 * SECOND)
         self.assertEqual(len(harness.connects), connects + 1)
         harness.pass_time_with_reports(SECOND)
-        self.assertEqual(
-            len(harness.connects), connects + 2
-        )  # a further one each RECOVERY_INTERVAL_US while the call stands
+        # A further recovery link is opened each RECOVERY_INTERVAL_US while the call stands.
+        self.assertEqual(len(harness.connects), connects + 2)
         harness.submit(s.Connected(harness.connects[-1].stream))
         harness.deliver(harness.connects[-1].stream, p.Release(5, p.ReleaseCause.NORMAL))
         self.assertFalse(self.stands())
         harness.pass_time_with_reports(12 * SECOND)
         self.assertEqual(len(harness.connects), connects + 2)
 
-    def test_recovery_links_do_not_close_links_and_so_cause_more_recovery_links(self) -> None:
+    def test_recovery_links_close_no_links_that_would_cause_more_recovery_links(self) -> None:
         # Without this rule, links were closed four times a second in a long run, each to make room for the next one.
         harness = self.harness
         for k in range(3):
@@ -263,7 +262,7 @@
             self.bring_up_links()
         return written
 
-    def test_a_reset_of_all_links_after_a_silence_ends_the_calls_in_time_though_new_links_respond(self) -> None:
+    def test_after_a_silence_a_reset_of_all_links_ends_calls_in_time_despite_new_links(self) -> None:
         # Soak seed 25: a machine vanished, and another one had its address before any connect had failed.
         harness = self.harness
         self.reset_all_after_silence()
@@ -298,7 +297,7 @@
         self.new = harness.connects[-1].stream
         return harness.submit(s.Connected(self.new)) + harness.deliver(self.new, group_state(40))
 
-    def test_a_message_on_a_new_link_after_an_outage_ends_the_calls_once_no_old_link_is_left(self) -> None:
+    def test_a_message_on_a_new_link_after_an_outage_ends_calls_once_no_old_link_is_left(self) -> None:
         written = self.new_link_after_outage()
         self.assertNotIn((1, END), written)
         for old_link in self.old:
--- a/tests/test_missed_ends.py
+++ b/tests/test_missed_ends.py
@@ -72,7 +72,7 @@
         self.harness.pass_time_with_reports(PASS_ON_LIMIT_US, PASS_ON_LIMIT_US // 4)
         self.assertEqual(len(self.harness.connects), connects + 1)
 
-    def test_a_call_ends_in_time_whose_end_may_be_lost_on_a_link_that_never_left_the_queue(self) -> None:
+    def test_a_call_ends_in_time_if_its_end_may_be_lost_on_a_link_still_in_the_queue(self) -> None:
         queued = self.hang()
         for stream in queued:
             self.reset_link(stream)
@@ -81,13 +81,13 @@
         released = [m for stream, m in written if stream < 0 and isinstance(m, p.Release)]
         self.assertIn(p.Release(5, p.ReleaseCause.NORMAL), released)  # in case it goes on there
 
-    def test_a_call_ends_in_time_whose_next_link_is_lost_just_after_its_first_message(self) -> None:
+    def test_a_call_ends_in_time_if_its_next_link_is_lost_just_after_its_first_message(self) -> None:
         self.reset_link(self.harness.first_links[1])
         for stream in self.bring_up_links():
             self.reset_link(stream)
         self.assertIn((1, END), self.pass_time(self.start_us + NOTIFY_LIMIT_US))
 
-    def test_a_call_ends_in_time_whose_own_link_is_found_dead_after_the_loss_of_the_next_one(self) -> None:
+    def test_a_call_ends_in_time_if_its_own_link_is_lost_after_the_next_one(self) -> None:
         # Soak seed 124: the network dropped both while the exchange hung; the one without any message was closed first.
         harness = self.harness
         harness.pass_time(SECOND)
@@ -97,7 +97,7 @@
         self.reset_link(harness.first_links[1])
         self.assertIn((1, END), self.pass_time(self.start_us + NOTIFY_LIMIT_US))
 
-    def test_a_call_goes_on_whose_next_link_has_delivered_its_initial_messages(self) -> None:
+    def test_a_call_goes_on_if_its_next_link_has_delivered_its_initial_messages(self) -> None:
         self.reset_link(self.harness.first_links[1])
         streams = self.bring_up_links()
         self.pass_time(self.harness.now + limits.INITIAL_MESSAGES_US)
@@ -163,7 +163,7 @@
         harness.deliver(harness.first_links[1], p.Release(5, p.ReleaseCause.NORMAL))
         self.assertIn(5, harness.session.calls.by_id)
 
-    def test_the_end_may_be_lost_on_a_link_to_the_other_exchange_that_never_left_the_queue(self) -> None:
+    def test_the_end_may_be_lost_on_a_queued_link_to_the_other_exchange(self) -> None:
         harness, test_start_us = self.harness, self.harness.now
         harness.submit(s.EndOfInput(self.links[102]))
         coming = [
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -97,7 +97,7 @@
             self.harness.submit(s.Accepted(stream))
         self.harness.pass_time(SECOND)
 
-    def test_idle_connections_close_once_no_new_ones_arrive_and_busy_ones_after_their_calls(self) -> None:
+    def test_idle_connections_close_once_no_new_ones_arrive_busy_ones_after_their_calls(self) -> None:
         harness = self.harness
         harness.deliver(2, set_up(5))
         self.assertEqual(harness.ask_admin(C.LAMEDUCK), "OK draining\n")
@@ -118,7 +118,7 @@
         harness.pass_time(limits.DRAIN_INTERVAL_US)
         self.assertEqual(sorted(harness.closed), [2, 3, 4])
 
-    def test_a_connection_with_a_standing_call_stays_until_the_end_is_sent_and_refuses_set_ups(self) -> None:
+    def test_a_connection_with_a_standing_call_refuses_set_ups_and_stays_until_the_end(self) -> None:
         for refused_after_us in (2 * SECOND, 6 * SECOND):
             harness = SessionHarness()
             harness.establish_call(5)
@@ -188,6 +188,7 @@
             self.assertEqual(new_caller.next(), p.HealthCheckResult(2, True))
 
     def test_unread_bytes_are_counted(self) -> None:
+        # A connection with unread input is not closed as idle: the input may be a set-up.
         local, remote = socket.socketpair()
         with local, remote:
             self.assertEqual(unread_bytes(local), 0)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -120,7 +120,7 @@
     return times
 
 
-def test_rule_4_all_controllers_together_stay_within_the_cold_start_budget_in_every_window() -> None:
+def test_rule_4_controllers_together_keep_the_cold_start_budget_in_every_window() -> None:
     harness = ControllerHarness()
     for k in (2, 3):
         harness.report(k, 40, setups_per_s=20.0)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""Many session controllers at once: what they send together must not overload an exchange."""
+"""Sixty session controllers at once: what they send to one exchange adds up, and must not overload it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from .helpers import SECOND, ControllerHarness, final_answers, list_entry, sent_to, settings_with
 
 CONTROLLERS = 60
-RESTARTED = range(1, 21)  # numbers of the exchanges that start at the same time
+RESTARTED = range(1, 21)  # numbers of the exchanges that start together: 20 of 60, one for each controller
 CARRIED_PER_S = 20.0  # set-ups a second that each exchange carries, half of them its own calls
 EXTRA_PER_S = 20.0  # what it can take in addition, where exchanges report it
 
@@ -131,7 +131,7 @@
     return tried
 
 
-def test_proven_tandems_come_first_and_one_other_is_tried_while_tandems_mostly_refuse() -> None:
+def test_while_tandems_mostly_refuse_proven_ones_come_first_and_one_other_is_tried() -> None:
     harness = ControllerHarness(remote_exchanges=30)
     for number in range(1, 6):
         harness.report(number, 0)
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -675,7 +675,7 @@
         harness.submit(s.Accepted(4))  # none is idle
         self.assertEqual(harness.closed, [2, 4])
 
-    def test_after_sigterm_it_exits_when_all_calls_are_answered_and_always_before_sigkill(self) -> None:
+    def test_after_sigterm_it_exits_once_all_calls_are_answered_and_before_sigkill(self) -> None:
         for answered in (True, False):
             harness = SessionHarness()
             harness.deliver(1, set_up(5, wait_ms=9000))
@@ -715,8 +715,8 @@
         harness.pass_time(limits.SIGTERM_CLOSE_INTERVAL_US)
         self.assertEqual((harness.closed, harness.exited), ([1, 2], True))
 
-    def test_a_set_up_that_arrives_as_all_calls_are_answered_for_the_exit_causes_no_error(self) -> None:
-        # Prevents that the decision module is offered a call that failed in the same step and sends a set-up for it.
+    def test_a_set_up_that_arrives_when_the_exit_answers_all_calls_causes_no_error(self) -> None:
+        # The decision module must not be offered a call that failed in the same step: it would send a set-up for it.
         harness = SessionHarness(remote_exchanges=3)
         harness.submit(s.Terminate())
         last_us = harness.session.phases.answer_all_by_us
@@ -742,8 +742,11 @@
 
 
 class Channel(unittest.TestCase):
-    """The command channel is reconnected in time: an update counts as received 6 s after a failing channel could
-    deliver it, and 4 s after a channel has become silent."""
+    """The command channel is reconnected in time.
+
+    An update on a channel that fails counts as received 6 s after it could be delivered, or 4 s after the channel has
+    become silent.
+    """
 
     def test_a_discovery_service_that_answers_late_is_not_given_up_too_early(self) -> None:
         for late_us in (SECOND // 2, 2 * SECOND, 3 * SECOND):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -54,7 +54,7 @@
         written = [m for _, m in session_harness.deliver(1, message)]
         return p.Release(message.call, p.ReleaseCause.INVALID_CONTENTS) not in written
 
-    def test_new_classes_are_valid_at_once_and_old_ones_until_their_callers_have_given_up(self) -> None:
+    def test_new_classes_are_valid_at_once_and_old_ones_until_their_callers_give_up(self) -> None:
         session_harness = SessionHarness()
         self.assertFalse(self.accepts(session_harness, of_class(1, "next_quote")))
         self.apply(session_harness, NEXT)
@@ -86,7 +86,7 @@
         session_harness.deliver(session_harness.first_links[1], p.Answer(1, b"yes"))
         self.assertEqual(session_harness.figure("succeeded.premium_quote"), 1)
 
-    def test_after_sigterm_calls_from_before_a_change_are_answered_before_the_earliest_sigkill(self) -> None:
+    def test_after_sigterm_calls_of_before_a_change_are_answered_before_any_sigkill(self) -> None:
         # By the shorter wait of the old and the new settings: the program cannot know which one the deployment uses.
         for before_us, now_us in ((9 * SECOND, SECOND // 2), (SECOND // 2, 9 * SECOND)):
             session_harness = SessionHarness()
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -58,7 +58,7 @@
             closed = [r for r in self.records(TraceEvent.LINK_CLOSED) if r.stream == self.harness.first_links[1]]
             self.assertEqual([(r.exchange, r.reason) for r in closed], [(101, reason.value)])
 
-    def test_calls_that_end_with_their_exchange_are_listed_with_the_length_of_its_silence(self) -> None:
+    def test_calls_that_end_with_their_exchange_are_listed_with_its_silence(self) -> None:
         self.harness.establish_call(5)
         self.harness.pass_time(SECOND)
         self.harness.session.calls.cut_off(self.harness.session.exchanges.by_id[101], self.harness.now, "is gone")
