--- a/latchturn/session/callers.py
+++ b/latchturn/session/callers.py
@@ -19,11 +19,11 @@
 from .inputs_and_effects import Close, ForwardRelease
 from .limits import (
     DESCRIPTORS_PER_EXCHANGE,
+    DESCRIPTORS_PER_GUARANTEED_CALLER,
     DRAIN_RETRY_AFTER_MS,
     MAX_CALLS,
     MAX_FAULTS,
     MAX_OPEN_CALLS,
-    MIN_CALLERS_DIVISOR,
     RECENT_ACTIVITY_US,
     RESERVED_DESCRIPTORS,
 )
@@ -122,7 +122,7 @@
         """How many callers' connections the descriptor limit allows, beside the descriptors of the other process."""
         ours = self.core.socket_limit - self.phases.other_descriptors
         return max(
-            ours // MIN_CALLERS_DIVISOR,
+            ours // DESCRIPTORS_PER_GUARANTEED_CALLER,
             ours - RESERVED_DESCRIPTORS - DESCRIPTORS_PER_EXCHANGE * len(self.exchanges.by_id),
         )
 
--- a/latchturn/session/limits.py
+++ b/latchturn/session/limits.py
@@ -78,7 +78,8 @@
 
 RESERVED_DESCRIPTORS = 40  # for the interpreter, the listeners, the command channel and connections being closed
 DESCRIPTORS_PER_EXCHANGE = 3  # less than MAX_LINKS_PER_EXCHANGE: links for further attempts are seldom all open
-MIN_CALLERS_DIVISOR = 3  # callers may use at least the descriptor limit divided by this
+# One caller's connection is allowed for each 3 descriptors of the limit, however many the rest of the program needs.
+DESCRIPTORS_PER_GUARANTEED_CALLER = 3
 # A caller must get a message or a close within 3 s of its connect, and within 3 s of a message that stays partial. A
 # valid set-up may take 2 s and more to arrive in pieces.
 FIRST_MESSAGE_TIMEOUT_US = 2_600_000  # a caller without an open call to which nothing has been sent by then is closed
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -110,7 +110,7 @@
         harness = SessionHarness(remote_exchanges=2, socket_limit=200)
         for stream in (2, 3):
             harness.submit(s.Accepted(stream))
-        harness.submit(s.OtherProcessUsage(200 - 2 * limits.MIN_CALLERS_DIVISOR))
+        harness.submit(s.OtherProcessUsage(200 - 2 * limits.DESCRIPTORS_PER_GUARANTEED_CALLER))
         self.assertEqual(harness.closed, [1])
         harness.submit(s.Accepted(4))
         self.assertEqual(harness.closed, [1, 2])
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -618,7 +618,7 @@
         self.assertEqual([(m.cause, m.retry_after_ms) for _, m in written], [(p.ReleaseCause.CONGESTION, 2000)])
 
     def test_connections_with_standing_calls_are_the_last_to_make_room(self) -> None:
-        harness = SessionHarness(socket_limit=3 * limits.MIN_CALLERS_DIVISOR)
+        harness = SessionHarness(socket_limit=3 * limits.DESCRIPTORS_PER_GUARANTEED_CALLER)
         harness.establish_call(5)
         for stream in range(2, 40):
             harness.submit(s.Accepted(stream))
@@ -631,7 +631,7 @@
             self.assertEqual(harness.session.callers.limit(), max_callers)
 
     def test_a_set_up_that_arrives_in_pieces_outlasts_silent_connections(self) -> None:
-        harness = SessionHarness(socket_limit=12 * limits.MIN_CALLERS_DIVISOR)
+        harness = SessionHarness(socket_limit=12 * limits.DESCRIPTORS_PER_GUARANTEED_CALLER)
         harness.submit(s.Accepted(2))
         for stream in range(10, 60):
             harness.pass_time(100_000)
@@ -645,7 +645,7 @@
         self.assertGreater(len(harness.closed), 20)
 
     def test_if_all_unknown_callers_are_recent_a_connection_without_calls_makes_room(self) -> None:
-        harness = SessionHarness(socket_limit=4 * limits.MIN_CALLERS_DIVISOR)
+        harness = SessionHarness(socket_limit=4 * limits.DESCRIPTORS_PER_GUARANTEED_CALLER)
         harness.establish_call(5)
         harness.submit(s.Accepted(2))
         harness.deliver(2, set_up(6, to=9))  # refused, so no call is left on the connection
@@ -666,7 +666,7 @@
 
 class DescriptorsAndTermination(unittest.TestCase):
     def test_idle_connections_make_room_within_the_descriptor_limit(self) -> None:
-        harness = SessionHarness(socket_limit=2 * limits.MIN_CALLERS_DIVISOR)
+        harness = SessionHarness(socket_limit=2 * limits.DESCRIPTORS_PER_GUARANTEED_CALLER)
         harness.deliver(1, set_up(5))
         harness.submit(s.Accepted(2))
         harness.submit(s.Accepted(3))  # the idle one makes room
