--- a/latchturn/brain.py
+++ b/latchturn/brain.py
@@ -28,15 +28,17 @@
 # another decision. It is queued for this share of its target set-up time at most: a later set-up would miss
 # the target and not earn the full value.
 QUEUE_SHARE = 0.75
-# Time-outs of set-ups, as a share of the class's target set-up time.
-DIRECT_TIMEOUT_SHARE = 1.0  # from the first dial: a later set-up earns little and ties circuits up
+# Time-outs of set-ups, as a share of the class's target set-up time. That of a direct call runs from the first dial,
+# or from now if the call is past its target: a later set-up earns little and ties circuits up.
+DIRECT_TIMEOUT_SHARE = 1.0
 TWO_LEG_TIMEOUT_SHARE = 0.7  # a tandem that has not answered by then is not worth waiting for
-# Further times, as a share of the shortest target set-up time of all classes where nothing else is stated.
+# Further times, as a share of the shortest target set-up time of all classes unless another base is named.
 MIN_TIMEOUT_SHARE = 0.2  # minimum time-out, unless the deadline is nearer: a shorter one cuts set-ups under way
 CHANCE_RETRY_SHARE = 0.05  # minimum retry-after of a caller whose attempts are used up
 MIN_TIME_LEFT_SHARE = 0.5  # of the usual set-up time: with less time left an attempt is not worth its work
 FINAL_ANSWER_MARGIN_SHARE = 0.05  # time before the deadline at which a queued call gets its final answer
 INITIAL_SET_UP_SHARE = 0.1  # usual set-up time that is assumed before the first answer
+
 SMOOTHING_WEIGHT = 0.05  # weight of each answer in the usual set-up time and in the share refused by tandems
 
 # Congestion window: how many set-ups may be outstanding at one exchange. Each prompt answer widens it, each
--- a/latchturn/interface.py
+++ b/latchturn/interface.py
@@ -71,9 +71,8 @@
     width: int  # circuits that a call takes up on each trunk group
     holding_us: int  # mean duration of an answered call
     pools: tuple[int, ...] = ()  # topology POOLS: numbers of the pools that it may go to
-    at_most_once: bool = (
-        False  # after an attempt that may have been executed, a call is failed, not sent again or refused
-    )
+    # After an attempt that may have been executed, a call fails: it must not be sent again, and not be refused either.
+    at_most_once: bool = False
 
 
 @dataclass(slots=True, frozen=True)
@@ -86,17 +85,17 @@
     controllers: int  # session controllers in the network
     max_attempts: int  # for each call
     release_us: int  # time that an attempt takes to be released once it timed out or was cut or cancelled
-    drain_grace_us: int  # time within which set-ups to a draining exchange must stop
+    drain_grace_us: int  # time within which set-ups to a draining exchange must stop; not used by the decision module
     cold_start_share: float  # share of its full set-up rate that an exchange can take when it has just started
     warm_up_us: int  # time from the start of an exchange until it can take its full rate
     collapse_multiple: float  # x the cold start rate: overload at which an exchange that is warming up collapses
-    collapse_us: int  # time over which that overload is counted
+    collapse_us: int  # time over which that overload is counted; not used by the decision module
     connect_timeout_us: int
     list_on_request: bool  # whether the exchange list must be subscribed to with `SubscribeToList`
     ask_within_us: int  # not used by the decision module
     max_retry_after_us: int  # longest retry-after, 0: callers get none
     resend_us: int  # not used by the decision module
-    late_penalty: float = 0.0  # cost of value that is not served within its target
+    late_penalty: float = 0.0  # cost of value that is not served within its target; not used by the decision module
     tenants: tuple[str, ...] = ()  # names; empty without tenants
 
 
@@ -240,7 +239,10 @@
 
 @dataclass(slots=True)
 class Refuse:
-    """Action: final answer of a call, refused; the caller may redial after `retry_after_us`."""
+    """Action: final answer of a call, refused; the caller may redial after `retry_after_us`.
+
+    A transit call is turned back to the exchange that sent it.
+    """
 
     call: int
     retry_after_us: int
--- a/latchturn/session/callers.py
+++ b/latchturn/session/callers.py
@@ -131,8 +131,8 @@
 
         Protects callers with calls when very many connect. Unknown callers, without a valid set-up so far, go first,
         the longest inactive one before all others, so that one whose set-up arrives in pieces outlasts a silent one.
-        If even that one has just been active, a known caller goes instead, provided that it has not been active itself
-        and has no open or standing call. Callers with standing calls go last.
+        If even that one has just been active, a known caller goes instead, provided that it has not just been active
+        itself and has no open or standing call. Callers with standing calls go last.
         """
         unknown = next((c for c in self.without_calls.values() if c.idle), None)
         if unknown is not None and self.core.now - unknown.last_active_us >= RECENT_ACTIVITY_US:
--- a/latchturn/session/core.py
+++ b/latchturn/session/core.py
@@ -11,7 +11,7 @@
 
 
 class Core:
-    """Time, effects of the current step, events for the decision module, counters, random numbers and trace."""
+    """The shared state; all components of a `Session` use the same instance."""
 
     def __init__(self, seed: int, socket_limit: int) -> None:
         self.now = 0  # time of the current step, microseconds
--- a/latchturn/session/decision_module.py
+++ b/latchturn/session/decision_module.py
@@ -11,7 +11,7 @@
 
 
 class DecisionModule(Component):
-    """Passes events to the decision module and carries out its actions."""
+    """The adapter around one `Controller`."""
 
     def __init__(self, settings: i.Settings, seed: int) -> None:
         self.controller = Controller(settings, seed)
--- a/latchturn/session/end_notices.py
+++ b/latchturn/session/end_notices.py
@@ -22,7 +22,7 @@
 
 
 class EndNotices(Component):
-    """Sends releases of ended calls, and again on another connection where they may not have arrived."""
+    """Sends releases of ended calls, and again on another connection if they have possibly not arrived."""
 
     def __init__(self) -> None:
         self.held: list[tuple[int, Release]] = []  # when it expires, and the release
--- a/latchturn/session/exchanges.py
+++ b/latchturn/session/exchanges.py
@@ -49,7 +49,7 @@
         self.by_id: dict[int, Exchange] = {}
 
     def apply_list_update(self, update: ListUpdate) -> None:
-        """Add, change and remove exchanges as an event of the command channel says, and report it to the decision
+        """Add, change and remove exchanges by an event of the command channel, and report it to the decision
         module."""
         # An event may arrive twice, the full list of the start included: only events after the cursor are new.
         if update.kind is None or update.number <= self.channel.cursor:
--- a/latchturn/session/inputs_and_effects.py
+++ b/latchturn/session/inputs_and_effects.py
@@ -21,7 +21,7 @@
     """The program has started, with the exchange list that its configuration holds."""
 
     list_updates: tuple[ListUpdate, ...]
-    cursor: int  # the number of the last of these updates
+    cursor: int  # number of the event of the command channel with which these updates end
     channel: tuple[str, int] = ("", 0)  # address of the command channel
     replaces: bool = False  # whether another process serves at the listen address until this one is ready
 
@@ -223,10 +223,10 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectChannel:
-    """Connect to the command channel in place of any open connection to it, and ask for later updates."""
+    """Connect to the command channel in place of any open connection to it, and ask for later events."""
 
     address: tuple[str, int]
-    cursor: int  # number of the last update received
+    cursor: int  # number of the last event applied
     timeout_us: int  # of the connect
 
 
--- a/latchturn/session/limits.py
+++ b/latchturn/session/limits.py
@@ -29,7 +29,7 @@
 
 RECOVERY_DELAY_US = SECOND // 4  # after the loss of a link, or after a late first message
 RECOVERY_INTERVAL_US = 5 * SECOND  # while calls stand whose own link is lost
-# After the start; for 8 s of it, callers of the preceding process must still be notified of ends.
+# After the start; for 8 s of it, callers of the predecessor must still be notified of ends.
 PREDECESSOR_ENDS_US = 10 * SECOND
 INITIAL_MESSAGES_US = SECOND // 4  # all initial messages on a new link arrive within this time of the first one
 LATE_FIRST_MESSAGE_US = SECOND // 2  # an exchange that sends nothing on a new link for this long has hung
@@ -85,7 +85,8 @@
 FIRST_MESSAGE_TIMEOUT_US = 2_600_000  # a caller without an open call to which nothing has been sent by then is closed
 CALLER_PARTIAL_TIMEOUT_US = 2_600_000  # for the rest of a partial message
 RECENT_ACTIVITY_US = 400_000  # a connection active this recently is closed to make room only if all others are too
-LINK_PARTIAL_TIMEOUT_US = SECOND // 4  # the same on a link: messages of exchanges are small and arrive whole
+# For the rest of a partial message on a link: messages of exchanges are small and arrive whole.
+LINK_PARTIAL_TIMEOUT_US = SECOND // 4
 MAX_FAULTS = 40  # useless messages on one connection before it is closed, not counting forgiven ones
 FAULTS_FORGIVEN_PER_SWEEP = 5  # one every 50 ms
 MAX_OPEN_CALLS = 400  # calls without a final answer, on one connection
@@ -96,7 +97,7 @@
 
 # --- start and drain ---
 
-READY_TIMEOUT_US = SECOND  # after the start; an exchange that has sent nothing by then is not waited for
+READY_TIMEOUT_US = SECOND  # after the start, to wait for group states; one missing by then will not come soon
 # The load balancer notices a drain up to 0.1 s late and sends new connections for 0.2 s more. After 4 s no connection
 # may be left that is idle or has had a set-up in the last 2 s.
 DRAIN_MIN_OPEN_US = 400_000  # no connection is closed earlier; a new one has this long for its first set-up
--- a/latchturn/session/liveness.py
+++ b/latchturn/session/liveness.py
@@ -168,7 +168,7 @@
         self.calls.presume_ended(exchange, standing, "is silent")
 
     def _end_calls_before_outage(self, exchange: Exchange, why: str) -> None:
-        """End the calls from before the outage: the process that responds now may be another. It is alive from now."""
+        """End the calls from before the outage: the process that responds now may be another. It counts as alive."""
         self.calls.presume_ended(exchange, self.calls.standing_before(exchange, exchange.outage_since_us), why)
         self._mark_alive(exchange)
 
--- a/latchturn/session/machines.py
+++ b/latchturn/session/machines.py
@@ -180,7 +180,7 @@
 
 
 _P, _PT = PhaseState, PhaseTransition
-_ADMIN_REFUSED = "commands to drain and to rejoin are refused in this phase"
+_ADMIN_REFUSED = "with a successor or after SIGTERM, commands to drain and to rejoin are refused"
 _NO_SIGTERM = "the program exits only after SIGTERM"
 PHASE = Machine(
     "phase", PhaseState, PhaseTransition,
--- a/latchturn/session/missed_ends.py
+++ b/latchturn/session/missed_ends.py
@@ -91,7 +91,7 @@
 
     def _may_have_missed_ends(self, exchange: Exchange) -> bool:
         """Whether an end may have been reported on a lost link: of a call that stands here without its link, or of one
-        that stood in the preceding process and is unknown to this one."""
+        that stood in the predecessor and is unknown to this one."""
         return bool(self.calls_without_link(exchange)) or self.core.now - self.phases.started_us < PREDECESSOR_ENDS_US
 
     def _is_responsive(self, exchange: Exchange) -> bool:
--- a/latchturn/session/phases.py
+++ b/latchturn/session/phases.py
@@ -51,7 +51,7 @@
         self.state = PhaseState.OPEN
         self.listening = False  # whether the listener for callers serves
         self.replaces_predecessor = False  # whether another process serves until this one is ready
-        self.other_descriptors = 0  # held by the preceding or the succeeding process
+        self.other_descriptors = 0  # held by the predecessor or the successor
         self.other_calls = 0  # held by that process
         self.started_us = 0
         self.drain_since_us = 0  # 0 if no drain is in progress
@@ -112,7 +112,9 @@
                 self.change_state(PhaseTransition.DRAIN)
                 self.start_drain(self.core.now + DRAIN_REFUSE_US, self.core.now + DRAIN_FORCE_CLOSE_US)
             return operations.encode_answer(True, self.phase.value)
-        return operations.encode_answer(False, "this can be asked: " + " ".join(c.value for c in operations.Command))
+        return operations.encode_answer(
+            False, "unknown command; known commands: " + " ".join(c.value for c in operations.Command)
+        )
 
     @property
     def phase(self) -> Phase:
@@ -234,10 +236,10 @@
                 self.calls.fail(call, "the program ends")
 
     def advance(self) -> None:
-        """Take over from the preceding process once ready, and exit once all is done; called at the end of a step."""
+        """Take over from the predecessor once ready, and exit once all is done; called at the end of a step."""
         if self.replaces_predecessor and not self.sigterm_us and self.is_ready():
             self.replaces_predecessor = False
-            self.core.log("ready: this process takes over from the preceding one")
+            self.core.log("ready: this process takes over from its predecessor")
             self.core.effects.append(AcceptCallers(True))
         if self.sigterm_us and self.state is not PhaseState.EXITED and self.close_for_exit():
             if self.has_successor:
--- a/latchturn/session/state.py
+++ b/latchturn/session/state.py
@@ -116,7 +116,7 @@
     ends_resent: bool = False  # whether the releases in the write under way have been sent on another connection too
     trust: int = 0  # 1 after a valid set-up, 2 after an answered call
     faults: int = 0  # useless messages, less those forgiven
-    close_reason: CloseReason | None = None  # set while it is to be closed as soon as no input is unread
+    close_reason: CloseReason | None = None  # set when a close without unread input (`CloseIdle`) is requested
 
     @property
     def finishing(self) -> bool:
--- a/latchturn/session/writing.py
+++ b/latchturn/session/writing.py
@@ -13,13 +13,13 @@
 
 
 class Writing(Component):
-    """Queues and writes messages on streams, and tracks which releases may not have arrived."""
+    """Queues and writes messages on streams, and tracks which releases have possibly not arrived."""
 
     def __init__(self) -> None:
         self.pending: dict[int, Stream] = {}  # streams to be flushed in this step
 
     def undelivered_releases(self, stream: Caller | Link) -> list[Release]:
-        """The releases that may not have arrived on a closed connection and must be sent on another one.
+        """The releases that possibly have not arrived on a closed connection and must be sent on another one.
 
         For a caller those are the releases of answered calls, for an exchange those of any call that has ended. The
         other releases to an exchange belong to open calls, which may now stand there: that is noted in the call.
@@ -34,7 +34,7 @@
         return [m for ident, m in releases.items() if ident in self.calls.ended and self.calls.ended[ident].stood]
 
     def _unconfirmed_since(self, stream: Caller | Link) -> int:
-        """The time after which an unconfirmed write may not have arrived.
+        """The time since which an unconfirmed write has possibly not arrived.
 
         That is `RECENT_WRITE_US` ago, on a link also the time of the last message received on it, if that is earlier.
         For a caller without another usable connection it is `CALLER_RELEASE_TTL_US` ago, the limit in all cases.
