--- a/latchturn/session/callers.py
+++ b/latchturn/session/callers.py
@@ -19,11 +19,11 @@
 from .inputs_and_effects import Close, ForwardRelease
 from .limits import (
     DESCRIPTORS_PER_EXCHANGE,
+    DESCRIPTORS_PER_GUARANTEED_CALLER,
     DRAIN_RETRY_AFTER_MS,
     MAX_CALLS,
     MAX_FAULTS,
     MAX_OPEN_CALLS,
-    MIN_CALLERS_DIVISOR,
     RECENT_ACTIVITY_US,
     RESERVED_DESCRIPTORS,
 )
@@ -122,7 +122,7 @@
         """How many callers' connections the descriptor limit allows, beside the descriptors of the other process."""
         ours = self.core.socket_limit - self.phases.other_descriptors
         return max(
-            ours // MIN_CALLERS_DIVISOR,
+            ours // DESCRIPTORS_PER_GUARANTEED_CALLER,
             ours - RESERVED_DESCRIPTORS - DESCRIPTORS_PER_EXCHANGE * len(self.exchanges.by_id),
         )
 
@@ -131,8 +131,8 @@
 
         Protects callers with calls when very many connect. Unknown callers, without a valid set-up so far, go first,
         the longest inactive one before all others, so that one whose set-up arrives in pieces outlasts a silent one.
-        If even that one has just been active, a known caller goes instead, provided that it has not been active itself
-        and has no open or standing call. Callers with standing calls go last.
+        If even that one has just been active, a known caller goes instead, provided that it has not just been active
+        itself and has no open or standing call. Callers with standing calls go last.
         """
         unknown = next((c for c in self.without_calls.values() if c.idle), None)
         if unknown is not None and self.core.now - unknown.last_active_us >= RECENT_ACTIVITY_US:
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -618,7 +618,7 @@
         self.assertEqual([(m.cause, m.retry_after_ms) for _, m in written], [(p.ReleaseCause.CONGESTION, 2000)])
 
     def test_connections_with_standing_calls_are_the_last_to_make_room(self) -> None:
-        harness = SessionHarness(socket_limit=3 * limits.MIN_CALLERS_DIVISOR)
+        harness = SessionHarness(socket_limit=3 * limits.DESCRIPTORS_PER_GUARANTEED_CALLER)
         harness.establish_call(5)
         for stream in range(2, 40):
             harness.submit(s.Accepted(stream))
@@ -631,7 +631,7 @@
             self.assertEqual(harness.session.callers.limit(), max_callers)
 
     def test_a_set_up_that_arrives_in_pieces_outlasts_silent_connections(self) -> None:
-        harness = SessionHarness(socket_limit=12 * limits.MIN_CALLERS_DIVISOR)
+        harness = SessionHarness(socket_limit=12 * limits.DESCRIPTORS_PER_GUARANTEED_CALLER)
         harness.submit(s.Accepted(2))
         for stream in range(10, 60):
             harness.pass_time(100_000)
@@ -645,7 +645,7 @@
         self.assertGreater(len(harness.closed), 20)
 
     def test_if_all_unknown_callers_are_recent_a_connection_without_calls_makes_room(self) -> None:
-        harness = SessionHarness(socket_limit=4 * limits.MIN_CALLERS_DIVISOR)
+        harness = SessionHarness(socket_limit=4 * limits.DESCRIPTORS_PER_GUARANTEED_CALLER)
         harness.establish_call(5)
         harness.submit(s.Accepted(2))
         harness.deliver(2, set_up(6, to=9))  # refused, so no call is left on the connection
@@ -666,7 +666,7 @@
 
 class DescriptorsAndTermination(unittest.TestCase):
     def test_idle_connections_make_room_within_the_descriptor_limit(self) -> None:
-        harness = SessionHarness(socket_limit=2 * limits.MIN_CALLERS_DIVISOR)
+        harness = SessionHarness(socket_limit=2 * limits.DESCRIPTORS_PER_GUARANTEED_CALLER)
         harness.deliver(1, set_up(5))
         harness.submit(s.Accepted(2))
         harness.submit(s.Accepted(3))  # the idle one makes room
@@ -675,7 +675,7 @@
         harness.submit(s.Accepted(4))  # none is idle
         self.assertEqual(harness.closed, [2, 4])
 
-    def test_after_sigterm_it_exits_when_all_calls_are_answered_and_always_before_sigkill(self) -> None:
+    def test_after_sigterm_it_exits_once_all_calls_are_answered_and_before_sigkill(self) -> None:
         for answered in (True, False):
             harness = SessionHarness()
             harness.deliver(1, set_up(5, wait_ms=9000))
@@ -715,8 +715,8 @@
         harness.pass_time(limits.SIGTERM_CLOSE_INTERVAL_US)
         self.assertEqual((harness.closed, harness.exited), ([1, 2], True))
 
-    def test_a_set_up_that_arrives_as_all_calls_are_answered_for_the_exit_causes_no_error(self) -> None:
-        # Prevents that the decision module is offered a call that failed in the same step and sends a set-up for it.
+    def test_a_set_up_that_arrives_when_the_exit_answers_all_calls_causes_no_error(self) -> None:
+        # The decision module must not be offered a call that failed in the same step: it would send a set-up for it.
         harness = SessionHarness(remote_exchanges=3)
         harness.submit(s.Terminate())
         last_us = harness.session.phases.answer_all_by_us
@@ -742,8 +742,11 @@
 
 
 class Channel(unittest.TestCase):
-    """The command channel is reconnected in time: an update counts as received 6 s after a failing channel could
-    deliver it, and 4 s after a channel has become silent."""
+    """The command channel is reconnected in time.
+
+    An update on a channel that fails counts as received 6 s after it could be delivered, or 4 s after the channel has
+    become silent.
+    """
 
     def test_a_discovery_service_that_answers_late_is_not_given_up_too_early(self) -> None:
         for late_us in (SECOND // 2, 2 * SECOND, 3 * SECOND):
