--- a/latchturn/checking/pairs.py
+++ b/latchturn/checking/pairs.py
@@ -1,4 +1,4 @@
-"""Coverage of the state machines: which moves were made in which states, compared with the machines' tables."""
+"""Coverage of the state machines: which transitions were made in which states, compared with the machines' tables."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 from ..session.machines import MACHINES, Machine
 
-Pair = tuple[str, str, str]  # machine, state, move
+Pair = tuple[str, str, str]  # machine, state, transition
 Pairs = Counter[Pair]
 
 
 @contextmanager
 def record(counts: Pairs) -> Iterator[None]:
-    """Count every move of every state machine while the context is active."""
+    """Count every transition of every state machine while the context is active."""
     original = Machine.next_state
 
-    def counted(self: Machine[IntEnum, IntEnum], state: IntEnum, move: IntEnum) -> IntEnum:
-        counts[self.name, state.name, move.name] += 1
-        return original(self, state, move)
+    def counted(self: Machine[IntEnum, IntEnum], state: IntEnum, transition: IntEnum) -> IntEnum:
+        counts[self.name, state.name, transition.name] += 1
+        return original(self, state, transition)
 
     Machine.next_state = counted  # type: ignore[method-assign,assignment]
     try:
@@ -30,13 +30,13 @@
 
 
 def pair_counts(pairs: Pairs) -> list[tuple[Pair, int, str]]:
-    """Every pair of state and move, its count, and the reason if the pair is impossible (otherwise empty)."""
+    """Every pair of state and transition, its count, and the reason if the pair is impossible (otherwise empty)."""
     rows = []
     for machine in MACHINES:
         for state in machine.states:
-            for move in machine.transition_kinds:
-                pair = (machine.name, state.name, move.name)
-                rows.append((pair, pairs[pair], machine.impossible.get((state, move), "")))
+            for transition in machine.transition_kinds:
+                pair = (machine.name, state.name, transition.name)
+                rows.append((pair, pairs[pair], machine.impossible.get((state, transition), "")))
     return rows
 
 
--- a/latchturn/checking/properties.py
+++ b/latchturn/checking/properties.py
@@ -289,7 +289,7 @@
 
 class NoInternalFault(Property):
     name = "no-fault"
-    statement = "The reducer has no internal fault, such as an impossible move of a state machine."
+    statement = "The reducer has no internal fault, such as an impossible transition of a state machine."
 
     def violation(self, history: History, observation: Observation) -> str | None:
         if observation.kind is not ObservationKind.INTERNAL_FAULT:
--- a/latchturn/cli/check.py
+++ b/latchturn/cli/check.py
@@ -45,7 +45,7 @@
 @JOBS
 @click.option("--plant", "fault", callback=_existing_name, help="Plant this fault first.")
 @click.option("--json", "file", type=click.Path(path_type=Path), help="Write a counterexample to this file.")
-@click.option("--pairs", "show_pairs", is_flag=True, help="Show how often each move was made in each state.")
+@click.option("--pairs", "show_pairs", is_flag=True, help="Show how often each transition was made in each state.")
 def attempt(
     names: list[str], exchanges: int | None, calls: int | None, seconds: float, jobs: int,
     fault: str | None, file: Path | None, show_pairs: bool,
@@ -77,8 +77,8 @@
             sys.exit(BROKEN)
         exit_code = exit_code if result.exhausted else UNFINISHED
     if show_pairs:
-        for (machine, state, move), count, reason in pairs.pair_counts(pair_totals):
-            click.echo(f"{machine:<11}{state:<17}{move:<10}{count:>9}  {reason and 'never: ' + reason}")
+        for (machine, state, transition), count, reason in pairs.pair_counts(pair_totals):
+            click.echo(f"{machine:<11}{state:<17}{transition:<10}{count:>9}  {reason and 'never: ' + reason}")
         click.echo(f"{len(pairs.uncovered_pairs(pair_totals))} possible pairs did not occur")
     sys.exit(exit_code)
 
