--- a/latchturn/brain.py
+++ b/latchturn/brain.py
@@ -268,8 +268,8 @@
             listed.add(entry.exchange)
             self._apply_entry(entry)
         if event.kind is not i.ListKind.CHANGES:
-            for known_id in [known_id for known_id in self.exchanges if known_id not in listed]:
-                self._remove_exchange(known_id)
+            for exchange_id in [exchange_id for exchange_id in self.exchanges if exchange_id not in listed]:
+                self._remove_exchange(exchange_id)
         self.by_number = {}
         for exchange in self.exchanges.values():
             if exchange.ready or exchange.number not in self.by_number:
@@ -279,12 +279,12 @@
         for number in list(self.queues):
             self._serve_queue(number)
 
-    def _remove_exchange(self, known_id: int) -> None:
+    def _remove_exchange(self, exchange_id: int) -> None:
         """Forget an exchange that is no longer listed. Its calls keep a reference to it until they end.
 
         Without this, memory would grow with every exchange that is replaced.
         """
-        gone = self.exchanges.pop(known_id, None)
+        gone = self.exchanges.pop(exchange_id, None)
         if gone is not None and gone.ready:
             gone.ready = False
             self._log(f"exchange {gone.number} was removed from the exchange list")
@@ -723,9 +723,9 @@
         Prevents load from calls to a number in heavy demand: after the report that all its lines are busy, one
         set-up in each gap tries it, until one is answered.
         """
-        until = self.busy_numbers.get(called_number)
-        if until is None or self.now < until:
-            return until is not None
+        until_us = self.busy_numbers.get(called_number)
+        if until_us is None or self.now < until_us:
+            return until_us is not None
         self._defer_number(called_number)
         return False
 
@@ -783,7 +783,7 @@
     def _warming_up(self, remote: Exchange) -> bool:
         return remote.warm_up_until_us > self.now
 
-    def _next_warm_up_turn(self, remote: Exchange, after: int, gap_us: int) -> int:
+    def _next_warm_up_turn(self, remote: Exchange, after_us: int, gap_us: int) -> int:
         """The first turn of this controller after a given time at an exchange that is warming up (slow start).
 
         Prevents all controllers together from overloading a recently started processor. Each controller has
@@ -792,7 +792,7 @@
         restarted itself.
         """
         start = remote.warm_up_until_us - self.settings.warm_up_us + int(self.turn_offset * gap_us)
-        return start + -((start - after) // gap_us) * gap_us
+        return start + -((start - after_us) // gap_us) * gap_us
 
     def _warm_up_turn_open(self, remote: Exchange) -> bool:
         """Whether it is this controller's turn at an exchange that is warming up.
--- a/latchturn/session/callers.py
+++ b/latchturn/session/callers.py
@@ -100,8 +100,8 @@
         self.core.counters["callers_shut"] += 1
         self.core.log(f"caller {caller.ident} closed: {why}")
         caller.change_state(StreamTransition.FINISH)
-        for ident in sorted(caller.unanswered):
-            self.calls.fail(self.calls.by_id[ident], why)
+        for call_id in sorted(caller.unanswered):
+            self.calls.fail(self.calls.by_id[call_id], why)
         self.close_if_finished(caller)
 
     def accept(self, stream: int) -> None:
@@ -202,9 +202,9 @@
         caller.change_state(StreamTransition.CLOSE)
         del self.by_stream[caller.ident]
         self.without_calls.pop(caller.ident, None)
-        for ident in list(caller.unanswered):
+        for call_id in list(caller.unanswered):
             self.core.counters["callers_vanished"] += 1
-            self.calls.abandon(self.calls.by_id[ident])
+            self.calls.abandon(self.calls.by_id[call_id])
         for release in self.writing.undelivered_releases(caller):
             self.end_notices.send(0, release)
 
--- a/latchturn/session/calls.py
+++ b/latchturn/session/calls.py
@@ -50,13 +50,13 @@
             )
         )
 
-    def send_final_answer(self, ident: int, message: Answer | Release) -> None:
+    def send_final_answer(self, call_id: int, message: Answer | Release) -> None:
         """Send a call its only final answer. Does nothing if the call has ended or is standing."""
-        call = self.by_id.get(ident)
+        call = self.by_id.get(call_id)
         if call is None or call.standing_exchange is not None:
             return
         caller = self.callers.by_stream[call.caller_stream]
-        caller.unanswered.discard(ident)
+        caller.unanswered.discard(call_id)
         self.timers.cancel(call.timer)
         if isinstance(message, Answer):
             self.classes.count_outcome("succeeded", call.set_up.class_name)
@@ -110,35 +110,35 @@
         answer. A release also ends a later attempt under the same id, so it is sent only when no further attempt can
         follow, and not to the exchange where the call stands.
         """
-        for ident in sorted(call.maybe_standing_at):
-            if ident != call.standing_exchange and ident in self.exchanges.by_id:
-                self.exchanges.send_release(self.exchanges.by_id[ident], Release(call.ident, ReleaseCause.NORMAL))
+        for exchange_id in sorted(call.maybe_standing_at):
+            if exchange_id != call.standing_exchange and exchange_id in self.exchanges.by_id:
+                self.exchanges.send_release(self.exchanges.by_id[exchange_id], Release(call.ident, ReleaseCause.NORMAL))
         call.maybe_standing_at.clear()
 
-    def remember_ended(self, ident: int, stood: bool, answered: bool) -> None:
+    def remember_ended(self, call_id: int, stood: bool, answered: bool) -> None:
         """Remember the id of an ended call for `ENDED_CALL_TTL_US`."""
-        self.ended.pop(ident, None)
-        self.ended[ident] = EndedCall(self.core.now + ENDED_CALL_TTL_US, stood, answered)
+        self.ended.pop(call_id, None)
+        self.ended[call_id] = EndedCall(self.core.now + ENDED_CALL_TTL_US, stood, answered)
 
-    def remember_rejected(self, ident: int) -> None:
+    def remember_rejected(self, call_id: int) -> None:
         """Remember the id of a set-up that was rejected on arrival, so that it is not answered a second time. Skipped
         while a flood of set-ups has filled the table."""
-        if ident and len(self.ended) < MAX_REMEMBERED_IDS:
-            self.remember_ended(ident, False, True)
+        if call_id and len(self.ended) < MAX_REMEMBERED_IDS:
+            self.remember_ended(call_id, False, True)
 
     def end_standing(self, call: Call, outcome: i.Outcome, report: i.LoadReport | None = None) -> None:
         """Remove a standing call, count how it ended, and report that to the decision module."""
-        at = call.standing_exchange
-        assert at is not None
-        self.exchanges.by_id[at].standing_calls.discard(call.ident)
+        exchange_id = call.standing_exchange
+        assert exchange_id is not None
+        self.exchanges.by_id[exchange_id].standing_calls.discard(call.ident)
         self.forget(call)
         self.core.counters[f"calls_{outcome.name.lower()}"] += 1
-        self.core.record_event(TraceEvent.CALL_ENDED, call=call.ident, exchange=at, reason=outcome.name)
+        self.core.record_event(TraceEvent.CALL_ENDED, call=call.ident, exchange=exchange_id, reason=outcome.name)
         self.core.events.append(
             i.AttemptEnded(
                 call.ident,
                 call.attempt_count - 1,
-                at,
+                exchange_id,
                 outcome,
                 self.core.now - call.standing_since_us,
                 True,
@@ -152,7 +152,7 @@
 
     def standing_before(self, exchange: Exchange, before_us: int) -> list[Call]:
         """The calls standing at an exchange since before a time, in the order of their ids."""
-        calls = (self.by_id[ident] for ident in sorted(exchange.standing_calls))
+        calls = (self.by_id[call_id] for call_id in sorted(exchange.standing_calls))
         return [call for call in calls if call.standing_since_us < before_us]
 
     def presume_ended(self, exchange: Exchange, calls: list[Call], why: str) -> None:
@@ -186,18 +186,18 @@
             self.end_standing(call, i.Outcome.CANCELLED)
             self.exchanges.send_release(exchange, Release(call.ident, cause))
 
-    def add_inherited(self, ident: int, exchange: int) -> None:
+    def add_inherited(self, call_id: int, exchange_id: int) -> None:
         """Enter a standing call of the predecessor. The decision module is not informed, since the number of free
         circuits that the exchanges report already excludes it."""
-        if exchange in self.exchanges.by_id and ident not in self.by_id and ident not in self.ended:
+        if exchange_id in self.exchanges.by_id and call_id not in self.by_id and call_id not in self.ended:
             self.core.counters["calls_inherited"] += 1
-            call = self.by_id[ident] = Call(SetUp(ident, "", 0, "", b""), 0, self.core.now)
+            call = self.by_id[call_id] = Call(SetUp(call_id, "", 0, "", b""), 0, self.core.now)
             call.state = CALL.next_state(call.state, CallTransition.ANSWER)
             call.standing_exchange, call.standing_since_us, call.end_missed_since_us = (
-                exchange,
+                exchange_id,
                 self.core.now,
                 self.core.now,
             )
-            self.exchanges.by_id[exchange].standing_calls.add(ident)
+            self.exchanges.by_id[exchange_id].standing_calls.add(call_id)
             # Its release may be sent on the links of the predecessor, which are being closed.
-            self.missed_ends.schedule_recovery_link(self.exchanges.by_id[exchange])
+            self.missed_ends.schedule_recovery_link(self.exchanges.by_id[exchange_id])
--- a/latchturn/session/end_notices.py
+++ b/latchturn/session/end_notices.py
@@ -63,10 +63,14 @@
             return
         if stuck:
             self.redirect_stuck_ends(caller, other)
-        overdue = [k for k, (at, _) in caller.unconfirmed.items() if at <= self.core.now - CONFIRMATION_TIMEOUT_US]
-        for ident in overdue:
-            _, release = caller.unconfirmed.pop(ident)
-            ended = self.calls.ended.get(ident)
+        overdue = [
+            call_id
+            for call_id, (written_us, _) in caller.unconfirmed.items()
+            if written_us <= self.core.now - CONFIRMATION_TIMEOUT_US
+        ]
+        for call_id in overdue:
+            _, release = caller.unconfirmed.pop(call_id)
+            ended = self.calls.ended.get(call_id)
             if ended is not None and ended.stood and ended.resend_count < MAX_RELEASE_RESENDS:
                 ended.resend_count += 1
                 self.core.counters["releases_sent_again"] += 1
--- a/latchturn/session/exchanges.py
+++ b/latchturn/session/exchanges.py
@@ -202,10 +202,12 @@
             # end that attempt or call.
             self.core.counters["late_answers"] += 1
             call = self.calls.by_id.get(answer.call)
-            current_exchange = None
+            current_exchange_id = None
             if call is not None:
-                current_exchange = call.attempt.link.exchange_id if call.attempt is not None else call.standing_exchange
-            if current_exchange != exchange.ident:
+                current_exchange_id = (
+                    call.attempt.link.exchange_id if call.attempt is not None else call.standing_exchange
+                )
+            if current_exchange_id != exchange.ident:
                 self.writing.queue(link, Release(answer.call, ReleaseCause.NORMAL))
             return
         call = attempt.call
--- a/latchturn/session/housekeeping.py
+++ b/latchturn/session/housekeeping.py
@@ -66,8 +66,8 @@
         """Send unconfirmed releases on another connection, and drop those that are taken to have arrived."""
         if isinstance(stream, Caller):
             self.end_notices.send_again(stream)
-        for ident in self.writing.presumed_delivered(stream):
-            del stream.unconfirmed[ident]
+        for call_id in self.writing.presumed_delivered(stream):
+            del stream.unconfirmed[call_id]
 
     def _check_write(self, stream: Stream) -> None:
         """Close a connection whose write has not completed within `WRITE_TIMEOUT_US`."""
--- a/latchturn/session/missed_ends.py
+++ b/latchturn/session/missed_ends.py
@@ -34,7 +34,7 @@
 
     def calls_without_link(self, exchange: Exchange) -> list[Call]:
         """The standing calls whose own link is lost, by id."""
-        calls = (self.calls.by_id[ident] for ident in sorted(exchange.standing_calls))
+        calls = (self.calls.by_id[call_id] for call_id in sorted(exchange.standing_calls))
         return [call for call in calls if call.answer_link not in self.links.by_stream]
 
     def link_lost(self, exchange: Exchange, link: Link, reason: CloseReason) -> None:
--- a/latchturn/session/phases.py
+++ b/latchturn/session/phases.py
@@ -244,7 +244,11 @@
         if self.sigterm_us and self.state is not PhaseState.EXITED and self.close_for_exit():
             if self.has_successor:
                 standing = [(c.ident, c.standing_exchange) for c in self.calls.by_id.values()]
-                self.core.effects.append(HandOverCalls(tuple((k, at) for k, at in standing if at is not None)))
+                self.core.effects.append(
+                    HandOverCalls(
+                        tuple((call_id, exchange_id) for call_id, exchange_id in standing if exchange_id is not None)
+                    )
+                )
             self.change_state(PhaseTransition.EXIT)
             self.core.effects.append(Exit())
 
--- a/latchturn/session/writing.py
+++ b/latchturn/session/writing.py
@@ -25,13 +25,13 @@
         other releases to an exchange belong to open calls, which may now stand there: that is noted in the call.
         """
         waiting = [m for m in (*stream.in_flight, *stream.outbox) if isinstance(m, Release)]
-        recent = [m for at, m in stream.unconfirmed.values() if at > self._unconfirmed_since(stream)]
+        recent = [m for written_us, m in stream.unconfirmed.values() if written_us > self._unconfirmed_since(stream)]
         releases = {m.call: m for m in (*recent, *waiting)}
         if isinstance(stream, Link):
-            for ident in releases.keys() & self.calls.by_id.keys():
-                self.calls.by_id[ident].maybe_standing_at.add(stream.exchange_id)
-            return [m for ident, m in releases.items() if ident in self.calls.ended]
-        return [m for ident, m in releases.items() if ident in self.calls.ended and self.calls.ended[ident].stood]
+            for call_id in releases.keys() & self.calls.by_id.keys():
+                self.calls.by_id[call_id].maybe_standing_at.add(stream.exchange_id)
+            return [m for call_id, m in releases.items() if call_id in self.calls.ended]
+        return [m for call_id, m in releases.items() if call_id in self.calls.ended and self.calls.ended[call_id].stood]
 
     def _unconfirmed_since(self, stream: Caller | Link) -> int:
         """The time since which an unconfirmed write has possibly not arrived.
@@ -49,7 +49,7 @@
         if not stream.unconfirmed:
             return []
         since = self._unconfirmed_since(stream)
-        return [call for call, (at, _) in stream.unconfirmed.items() if at <= since]
+        return [call_id for call_id, (written_us, _) in stream.unconfirmed.items() if written_us <= since]
 
     def input_ended(self, stream: int, reason: CloseReason = CloseReason.PEER_ENDED) -> None:
         """No more input comes on a stream: close a link; close a caller's connection when its answers are written."""
@@ -108,9 +108,9 @@
             stream.write_started_us = self.core.now
             self.core.effects.append(Write(stream.ident, tuple(messages)))
 
-    def write_completed(self, ident: int) -> None:
+    def write_completed(self, stream_id: int) -> None:
         """Process the end of a write: update its attempts, note its releases as unconfirmed, flush the rest."""
-        stream = self.callers.by_stream.get(ident) or self.links.by_stream.get(ident)
+        stream = self.callers.by_stream.get(stream_id) or self.links.by_stream.get(stream_id)
         if stream is None:
             return
         items, stream.in_flight = stream.in_flight, []
@@ -125,7 +125,7 @@
                 self.core.counters["forwards"] += 1
             elif isinstance(item, Release):
                 stream.unconfirmed[item.call] = (self.core.now, item)
-        self.pending[ident] = stream
+        self.pending[stream_id] = stream
         if isinstance(stream, Caller):
             self.callers.close_if_finished(stream)
 
