--- a/tests/test_checking.py
+++ b/tests/test_checking.py
@@ -80,8 +80,8 @@
         harness.stalled_streams.add(harness.first_links[1])
         harness.pass_time(1_600_000)  # the attempt times out; its give-up is not written yet
         harness.submit(s.WriteCompleted(harness.first_links[1]))
-        held = [t for _, _, t in harness.session.timers.heap if isinstance(t.subject, s.Attempt)]
-        self.assertEqual(held, [])
+        attempt_timers = [t for _, _, t in harness.session.timers.heap if isinstance(t.subject, s.Attempt)]
+        self.assertEqual(attempt_timers, [])
 
 
 class States(unittest.TestCase):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -213,7 +213,7 @@
             return sock
         return None
 
-    def test_stale_unrelated_and_unresponsive_files(self) -> None:
+    def test_a_process_starts_at_once_whatever_is_at_the_path_of_its_socket(self) -> None:
         async def start(path: Path) -> bool:
             started = time.monotonic()
             self.assertIsNone(await h.receive_listener(path, ("127.0.0.1", 1)))
--- a/tests/test_missed_ends.py
+++ b/tests/test_missed_ends.py
@@ -113,7 +113,7 @@
         self.pass_time(self.start_us + 3 * NOTIFY_LIMIT_US)
         self.assertIn(5, self.harness.session.calls.by_id)
 
-    def test_a_call_answered_after_such_a_loss_goes_on(self) -> None:
+    def test_a_call_answered_after_the_loss_of_a_queued_link_goes_on(self) -> None:
         for stream in self.hang():
             self.reset_link(stream)
         self.pass_time(self.harness.now + SECOND)
@@ -192,7 +192,7 @@
         harness.pass_time_with_reports(PASS_ON_LIMIT_US, PASS_ON_LIMIT_US // 4)
         self.assertEqual(len(harness.connects), connects + 1)
 
-    def test_such_a_call_goes_on_until_its_end_is_reported(self) -> None:
+    def test_an_inherited_call_goes_on_until_its_end_is_reported(self) -> None:
         harness = SessionHarness()
         harness.submit(s.CallInherited(7, 101))
         harness.pass_time_with_reports(3 * NOTIFY_LIMIT_US)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -97,7 +97,7 @@
             self.harness.submit(s.Accepted(stream))
         self.harness.pass_time(SECOND)
 
-    def test_idle_connections_close_once_no_new_ones_arrive_busy_ones_after_their_calls(self) -> None:
+    def test_idle_connections_close_after_a_minimum_time_and_busy_ones_after_their_calls(self) -> None:
         harness = self.harness
         harness.deliver(2, set_up(5))
         self.assertEqual(harness.ask_admin(C.LAMEDUCK), "OK draining\n")
@@ -167,7 +167,7 @@
         for command in (C.PING, C.REJOIN, C.LAMEDUCK):
             self.assertEqual(harness.ask_admin(command), "ERR ending\n")
 
-    def test_on_sockets(self) -> None:
+    def test_a_drain_and_its_end_on_real_sockets(self) -> None:
         with Program() as program:
             idle, busy = program.caller(), program.caller()
             busy.send(set_up(1))
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -130,7 +130,7 @@
     RECORD = bytes.fromhex("00c41f7a7f0001090f1c010000000200000fa00000000000000005")
     HEAD = bytes.fromhex("00000024000000000000002a02")
 
-    def test_frames(self) -> None:
+    def test_frames_are_decoded_however_they_are_split(self) -> None:
         entry = i.ListEntry(0xC41F7A, 2, i.ListState.DRAINING, 5000)
         update = p.ListUpdate(42, i.ListKind.CHANGES, (p.ExchangeRecord(entry, ("127.0.1.9", 3868)),))
         data = bytes(4) + self.HEAD + self.RECORD + bytes.fromhex("00000009000000000000002a00")
@@ -140,7 +140,7 @@
         self.assertEqual(decoded, [p.ListUpdate(0, None), update, p.ListUpdate(42, None)])
         self.assertEqual(p.encode_cursor(42), bytes(7) + b"*")
 
-    def test_malformed_frames(self) -> None:
+    def test_a_malformed_frame_raises_a_protocol_error(self) -> None:
         cases = {
             "too short": bytes.fromhex("00000008") + bytes(8),
             "too long": b"\xff" * 4,
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -42,7 +42,7 @@
 
 
 def network(reports: bool, listed_within_us: int, restart: bool = False) -> dict[int, list[int]]:
-    """For each restarted exchange the times of all set-ups to it during its warm-up, by all controllers.
+    """For each restarted exchange, the times of all set-ups to it during its warm-up, by all controllers.
 
     Each controller learns of the starts within `listed_within_us`; with `restart` it is restarted itself once.
     """
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -279,7 +279,7 @@
 class SplicedAnswers(unittest.TestCase):
     """A truncated answer whose declared length is filled with bytes of the message behind it."""
 
-    def test_it_is_not_passed_on_and_its_link_is_closed(self) -> None:
+    def test_a_spliced_answer_is_not_passed_on_and_its_link_is_closed(self) -> None:
         next_messages = (
             p.Answer(6, b"v=0"),
             p.Release(4, GIVE_UP),
@@ -323,13 +323,13 @@
             if stream in links_by_stream and message == release
         ]
 
-    def test_it_is_released_at_its_exchange_when_the_call_has_ended(self) -> None:
+    def test_the_exchange_is_sent_a_release_once_the_call_has_ended(self) -> None:
         harness = self.harness
         written = harness.submit(s.ConnectionClosed(harness.first_links[1]))
         self.assertEqual(self.released(written), [])  # a later attempt there has the same id
         self.assertEqual(self.released(harness.deliver(1, p.Release(5, GIVE_UP))), [101])
 
-    def test_it_is_released_when_the_call_is_answered_elsewhere_but_not_where_it_stands(self) -> None:
+    def test_the_exchange_is_sent_a_release_if_another_answers_the_call_not_if_it_does(self) -> None:
         for direct_is_full, released_at in ((False, []), (True, [101])):
             self.setUp()
             harness = self.harness
@@ -790,7 +790,7 @@
     def setUp(self) -> None:
         self.harness = SessionHarness()
 
-    def test_it_reconnects_at_once_after_a_failure_and_after_a_pause_from_the_second_on(self) -> None:
+    def test_the_first_reconnect_is_immediate_and_further_ones_follow_after_a_pause(self) -> None:
         harness, begin = self.harness, self.harness.now
         harness.submit(s.ChannelLost("closed"))
         self.assertEqual(len(harness.channel_connects), 2)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -86,7 +86,7 @@
         session_harness.deliver(session_harness.first_links[1], p.Answer(1, b"yes"))
         self.assertEqual(session_harness.figure("succeeded.premium_quote"), 1)
 
-    def test_after_sigterm_calls_of_before_a_change_are_answered_before_any_sigkill(self) -> None:
+    def test_after_sigterm_calls_from_before_a_change_are_answered_before_any_sigkill(self) -> None:
         # By the shorter wait of the old and the new settings: the program cannot know which one the deployment uses.
         for before_us, now_us in ((9 * SECOND, SECOND // 2), (SECOND // 2, 9 * SECOND)):
             session_harness = SessionHarness()
@@ -123,7 +123,7 @@
         self.assertEqual(final_answers(harness.end_attempt(call, 1, i.Outcome.TURNED_AWAY, i.Cause.NO_CIRCUIT)), [])
         self.assertEqual(final_answers(harness.submit(i.SettingsChanged(settings_with(max_attempts=1)))), [call])
 
-    def test_a_call_keeps_its_class(self) -> None:
+    def test_an_open_call_keeps_its_class_when_settings_change(self) -> None:
         harness = ControllerHarness()
         call, _ = harness.offer(1, cls=2)
         harness.submit(i.SettingsChanged(settings_with(classes=SETTINGS.classes[:1])))
@@ -222,7 +222,7 @@
                 server._reconfigure()
                 self.assertIsInstance(inputs.pop(), s.Reconfigured)
 
-    def test_sighup_on_a_running_program(self) -> None:
+    def test_sighup_rejects_an_invalid_file_and_applies_a_valid_one(self) -> None:
         with Program() as program:
             caller = program.caller()
             settings = copy.deepcopy(NESTED)
