--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -279,7 +279,7 @@
 class SplicedAnswers(unittest.TestCase):
     """A truncated answer whose declared length is filled with bytes of the message behind it."""
 
-    def test_it_is_not_passed_on_and_its_link_is_closed(self) -> None:
+    def test_a_spliced_answer_is_not_passed_on_and_its_link_is_closed(self) -> None:
         next_messages = (
             p.Answer(6, b"v=0"),
             p.Release(4, GIVE_UP),
@@ -323,13 +323,13 @@
             if stream in links_by_stream and message == release
         ]
 
-    def test_it_is_released_at_its_exchange_when_the_call_has_ended(self) -> None:
+    def test_the_exchange_is_sent_a_release_once_the_call_has_ended(self) -> None:
         harness = self.harness
         written = harness.submit(s.ConnectionClosed(harness.first_links[1]))
         self.assertEqual(self.released(written), [])  # a later attempt there has the same id
         self.assertEqual(self.released(harness.deliver(1, p.Release(5, GIVE_UP))), [101])
 
-    def test_it_is_released_when_the_call_is_answered_elsewhere_but_not_where_it_stands(self) -> None:
+    def test_the_exchange_is_sent_a_release_if_another_answers_the_call_not_if_it_does(self) -> None:
         for direct_is_full, released_at in ((False, []), (True, [101])):
             self.setUp()
             harness = self.harness
@@ -675,7 +675,7 @@
         harness.submit(s.Accepted(4))  # none is idle
         self.assertEqual(harness.closed, [2, 4])
 
-    def test_after_sigterm_it_exits_when_all_calls_are_answered_and_always_before_sigkill(self) -> None:
+    def test_after_sigterm_it_exits_once_all_calls_are_answered_and_before_sigkill(self) -> None:
         for answered in (True, False):
             harness = SessionHarness()
             harness.deliver(1, set_up(5, wait_ms=9000))
@@ -715,8 +715,8 @@
         harness.pass_time(limits.SIGTERM_CLOSE_INTERVAL_US)
         self.assertEqual((harness.closed, harness.exited), ([1, 2], True))
 
-    def test_a_set_up_that_arrives_as_all_calls_are_answered_for_the_exit_causes_no_error(self) -> None:
-        # Prevents that the decision module is offered a call that failed in the same step and sends a set-up for it.
+    def test_a_set_up_that_arrives_when_the_exit_answers_all_calls_causes_no_error(self) -> None:
+        # The decision module must not be offered a call that failed in the same step: it would send a set-up for it.
         harness = SessionHarness(remote_exchanges=3)
         harness.submit(s.Terminate())
         last_us = harness.session.phases.answer_all_by_us
@@ -742,8 +742,11 @@
 
 
 class Channel(unittest.TestCase):
-    """The command channel is reconnected in time: an update counts as received 6 s after a failing channel could
-    deliver it, and 4 s after a channel has become silent."""
+    """The command channel is reconnected in time.
+
+    An update on a channel that fails counts as received 6 s after it could be delivered, or 4 s after the channel has
+    become silent.
+    """
 
     def test_a_discovery_service_that_answers_late_is_not_given_up_too_early(self) -> None:
         for late_us in (SECOND // 2, 2 * SECOND, 3 * SECOND):
@@ -787,7 +790,7 @@
     def setUp(self) -> None:
         self.harness = SessionHarness()
 
-    def test_it_reconnects_at_once_after_a_failure_and_after_a_pause_from_the_second_on(self) -> None:
+    def test_the_first_reconnect_is_immediate_and_further_ones_follow_after_a_pause(self) -> None:
         harness, begin = self.harness, self.harness.now
         harness.submit(s.ChannelLost("closed"))
         self.assertEqual(len(harness.channel_connects), 2)
