--- a/latchturn/checking/states.py
+++ b/latchturn/checking/states.py
@@ -91,7 +91,8 @@
         )
     ),
     Timers: frozenset(("sequence", "heap")),
-    # These follow from the settings in use; the previous classes expire after their callers' longest give-up time.
+    # The settings in use determine these, except that `known_names` only selects the figures to list, and the previous
+    # classes and tenants expire after the longest give-up time of the previous classes.
     Classes: frozenset(("known_names", "settings", "index_by_name", "tenants", "previous")),
     History: frozenset(("now_us", "notify")),
     Environment: frozenset(("scope", "now_us", "session", "recording")),
