--- a/latchturn/session/attempts.py
+++ b/latchturn/session/attempts.py
@@ -116,7 +116,7 @@
         attempt.call.attempt = None
 
     def prepare_set_up(self, attempt: Attempt) -> SetUp | None:
-        """The set-up to write for an attempt, None if the attempt has ended or may not be sent any more."""
+        """The set-up to write for an attempt, None if the attempt has ended or must not be sent any more."""
         call = attempt.call
         if call.attempt is not attempt or self.core.now >= attempt.due_us:
             return None
--- a/latchturn/session/callers.py
+++ b/latchturn/session/callers.py
@@ -119,7 +119,7 @@
         self.by_stream[stream] = self.without_calls[stream] = caller
 
     def limit(self) -> int:
-        """How many callers' connections the descriptor limit allows, beside the descriptors of the other process."""
+        """How many callers' connections are allowed by the descriptors that the other process leaves of the limit."""
         ours = self.core.socket_limit - self.phases.other_descriptors
         return max(
             ours // DESCRIPTORS_PER_GUARANTEED_CALLER,
--- a/latchturn/session/classes.py
+++ b/latchturn/session/classes.py
@@ -48,15 +48,15 @@
         index = self.index_by_name.get(settings_text(set_up.class_name))
         if index is None:
             return "unknown class"
-        cls, figures = self.settings.classes[index], set_up.figures
-        previous = self.previous.get(settings_text(set_up.class_name), cls)
+        call_class, figures = self.settings.classes[index], set_up.figures
+        previous = self.previous.get(settings_text(set_up.class_name), call_class)
         checks = {
             "id": set_up.call != 0,
             "tenant": not self.tenants or settings_text(set_up.tenant) in self.tenants,
             "number called": CALLED_NUMBER.fullmatch(set_up.called) is not None,
-            "wait": 1 <= set_up.wait_ms <= max(cls.give_up_us, previous.give_up_us) // 1000 + 1,
+            "wait": 1 <= set_up.wait_ms <= max(call_class.give_up_us, previous.give_up_us) // 1000 + 1,
             "dest": 0 <= figures.get("dest", -1) < MAX_EXCHANGE_NUMBERS,
-            "width": figures.get("width") in (cls.width, previous.width),
+            "width": figures.get("width") in (call_class.width, previous.width),
             "via": -1 <= figures.get("via", -1) < MAX_EXCHANGE_NUMBERS,
             "transit": figures.get("transit", 0) in (0, 1),
             "again": figures.get("again", 0) in (0, 1),
--- a/latchturn/session/limits.py
+++ b/latchturn/session/limits.py
@@ -78,7 +78,8 @@
 
 RESERVED_DESCRIPTORS = 40  # for the interpreter, the listeners, the command channel and connections being closed
 DESCRIPTORS_PER_EXCHANGE = 3  # less than MAX_LINKS_PER_EXCHANGE: links for further attempts are seldom all open
-# One caller's connection is allowed for each 3 descriptors of the limit, however many the rest of the program needs.
+# Callers get at least one connection for each of this many descriptors that the other process leaves of the limit,
+# however many the links need.
 DESCRIPTORS_PER_GUARANTEED_CALLER = 3
 # A caller must get a message or a close within 3 s of its connect, and within 3 s of a message that stays partial. A
 # valid set-up may take 2 s and more to arrive in pieces.
--- a/latchturn/session/missed_ends.py
+++ b/latchturn/session/missed_ends.py
@@ -95,5 +95,5 @@
         return bool(self.calls_without_link(exchange)) or self.core.now - self.phases.started_us < PREDECESSOR_ENDS_US
 
     def _is_responsive(self, exchange: Exchange) -> bool:
-        """Whether the exchange has sent a message lately, so that it will soon notice the close of a link."""
+        """Whether the exchange has sent a message recently, so that it will soon notice the close of a link."""
         return self.core.now - exchange.last_received_us < LATE_FIRST_MESSAGE_US
--- a/latchturn/session/phases.py
+++ b/latchturn/session/phases.py
@@ -164,7 +164,7 @@
         if self.core.now - self.drain_since_us < DRAIN_MIN_OPEN_US and not self.has_successor:
             return
         before_force_close = self.core.now < self.force_close_from_us
-        # The end of a standing call must reach its caller within 1 s, and the caller may not connect again. So these
+        # The end of a standing call must reach its caller within 1 s, and the caller might not connect again. So these
         # connections stay open until the calls have ended, and new set-ups on them are refused. With a successor they
         # are closed too once `force_close_from_us` has come: exchanges report the ends to it, and it passes them on.
         needed = {call.caller_stream for call in self.calls.by_id.values()}
@@ -220,7 +220,7 @@
     def longest_wait_us(self) -> int:
         """The longest wait of a caller, after which SIGKILL may follow SIGTERM.
 
-        If the settings have changed lately, it is the shorter one of the old and the new settings.
+        While the previous settings are still valid too, it is the shorter one of both.
         """
         waits = [max(c.give_up_us for c in self.classes.configured.classes)]
         if self.classes.previous:
--- a/latchturn/session/state.py
+++ b/latchturn/session/state.py
@@ -146,7 +146,7 @@
 
 @dataclass(slots=True, eq=False)
 class ReceivedGroupState:
-    """A group state lately received from an exchange, and the links on which it has arrived so far."""
+    """A group state recently received from an exchange, and the links on which it has arrived so far."""
 
     received_us: int
     figures: Mapping[str, float]
