--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -7,6 +7,8 @@
 
 from latchturn.brain import DIRECT, TWO_LEG, TrunkGroup
 
+# Each step: s to seize, r to release or z to resize; whether the call is two-leg; and a number, which gives the width
+# and the free circuits of a seizure, the call to release or the new size.
 STEPS = st.lists(st.tuples(st.sampled_from("srz"), st.booleans(), st.integers(0, 60)), max_size=60)
 
 
@@ -27,14 +29,14 @@
             group.free_circuits = number
             n = group.in_use[traffic_class]
             expected_unreserved = unreserved_by_formula(group)
-            bounds = (
+            within_reservation = (
                 n < group.minimum[traffic_class]
                 or width <= expected_unreserved
                 or (expected_unreserved < 0 and not two_leg)
             )
             unfilled = max(0, group.minimum[DIRECT] - group.in_use[DIRECT]) if two_leg else 0
             within_limit = n + width <= group.limit[TWO_LEG] if two_leg else True
-            expected = within_limit and bounds and number >= width + unfilled
+            expected = within_limit and within_reservation and number >= width + unfilled
             assert group.admits(traffic_class, width) == expected
             if expected:
                 group.seize(traffic_class, width)
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -250,12 +250,14 @@
         self.bring_up_links()
 
     def bring_up_links(self) -> None:
+        """Bring up all links that are connecting and deliver a group state on each."""
         for stream, link in list(self.harness.session.links.by_stream.items()):
             if not link.up_since_us:
                 self.harness.submit(s.Connected(stream))
                 self.harness.deliver(stream, group_state(9))
 
     def pass_time_with_new_links(self, until_us: int) -> list[tuple[int, p.Message]]:
+        """Let time pass while links come up and deliver group states; returns the messages written meanwhile."""
         written: list[tuple[int, p.Message]] = []
         while self.harness.now < until_us:
             written += self.harness.pass_time_with_reports(SECOND // 10, SECOND // 10)
--- a/tests/test_missed_ends.py
+++ b/tests/test_missed_ends.py
@@ -27,6 +27,7 @@
         self.connects_seen = 0  # connects handled by bring_up_links
 
     def reset_link(self, stream: int) -> None:
+        """Have the connection of a link end with a reset."""
         self.harness.submit(s.ConnectionClosed(stream))
 
     def bring_up_links(self, sends: bool = True) -> list[int]:
