--- a/latchturn/session/phases.py
+++ b/latchturn/session/phases.py
@@ -112,9 +112,7 @@
                 self.change_state(PhaseTransition.DRAIN)
                 self.start_drain(self.core.now + DRAIN_REFUSE_US, self.core.now + DRAIN_FORCE_CLOSE_US)
             return operations.encode_answer(True, self.phase.value)
-        return operations.encode_answer(
-            False, "unknown command; known commands: " + " ".join(c.value for c in operations.Command)
-        )
+        return operations.encode_answer(False, "this can be asked: " + " ".join(c.value for c in operations.Command))
 
     @property
     def phase(self) -> Phase:
